--- a/crates/core/src/completion/control/suspecting.rs
+++ b/crates/core/src/completion/control/suspecting.rs
@@ -6,7 +6,7 @@
 use crate::BackendId;
 use crate::Command;
 use crate::Fingerprint;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
 use crate::RAN_WELL_AFTER;
 use crate::Refusal;
@@ -46,7 +46,7 @@
         self.spread(commands);
     }
 
-    fn life_of(&self, backend: &BackendId) -> LifeId {
+    fn life_of(&self, backend: &BackendId) -> IncarnationId {
         weight(backend, &(self.wall_ms / SAME_END_MS).to_string())
     }
 
--- a/crates/core/src/directory/replica_list.rs
+++ b/crates/core/src/directory/replica_list.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 
 use crate::BackendId;
+use crate::IncarnationId;
 use crate::LeavingMarks;
-use crate::LifeId;
 use crate::Now;
 use crate::Replica;
 use crate::Revision;
@@ -65,7 +65,7 @@
 struct Line {
     replica: Replica,
     /// Identifies the life that is listed.
-    life: LifeId,
+    life: IncarnationId,
     /// Revision by which it was as it is.
     revision: Revision,
     /// When a lapsed entry stops counting.
@@ -241,7 +241,7 @@
     }
 
     /// Lives that said that they leave.
-    pub fn lives_that_leave(&self, now: Now) -> BTreeSet<LifeId> {
+    pub fn lives_that_leave(&self, now: Now) -> BTreeSet<IncarnationId> {
         self.said_leaving.lives(now)
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Listed lives.
-    pub fn lives(&self) -> BTreeSet<LifeId> {
+    pub fn lives(&self) -> BTreeSet<IncarnationId> {
         self.lines.values().map(|line| line.life).collect()
     }
 
@@ -355,7 +355,7 @@
     }
 
     /// Where lives aren't told apart, an entry that is listed anew is another life.
-    fn mark_listed(&mut self, now: Now, life: LifeId, replica: &Replica) {
+    fn mark_listed(&mut self, now: Now, life: IncarnationId, replica: &Replica) {
         let tells_lives = replica.born_ms.is_some();
         if !tells_lives && !self.lines.contains_key(&replica.id) {
             self.said_leaving.forget(life);
--- a/crates/core/src/directory/replica_view.rs
+++ b/crates/core/src/directory/replica_view.rs
@@ -7,7 +7,7 @@
 use crate::BackendId;
 use crate::EngineTraits;
 use crate::FailurePause;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::LoadShare;
 use crate::LoadShares;
 use crate::Now;
@@ -66,11 +66,11 @@
     /// The replica that runs it.
     pub replica: BackendId,
     /// Its life when it was sent there; `None` where it wasn't listed.
-    pub life: Option<LifeId>,
+    pub life: Option<IncarnationId>,
     /// The engine that keeps a copy.
     pub backup: Option<BackendId>,
     /// The life of that engine when it was chosen.
-    pub backup_life: Option<LifeId>,
+    pub backup_life: Option<IncarnationId>,
     /// What it asked for.
     pub ask: PlacementAsk,
     /// Tokens that came out.
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -8,6 +8,7 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
+use crate::AdvertisedLoads;
 use crate::BackendId;
 use crate::Belief;
 use crate::ConfigVersion;
@@ -35,7 +36,6 @@
 use crate::RunEnd;
 use crate::ServerLimits;
 use crate::Suspicions;
-use crate::ToldLoads;
 use crate::ZoneDigest;
 use crate::ZoneEvacuations;
 use crate::own_shares;
@@ -183,7 +183,7 @@
     }
 
     /// Notes what a peer tells of the load of the replicas.
-    pub fn hear_peer(&mut self, now: Now, told: ToldLoads) {
+    pub fn hear_peer(&mut self, now: Now, told: AdvertisedLoads) {
         self.peers.hear(now, told);
         self.share_budget();
     }
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -62,12 +62,12 @@
     /// What all other instances want of a limited server. Those that could not say yet, since
     /// the limit is new or they fell silent before, are taken to want as much as this one.
     pub fn wanted_by_others(&self, now: Now, server: &ServerLife) -> RequestRate {
-        let told = self.peers.wanted_of(&server.id);
+        let told = self.peers.demand_for(&server.id);
         let Some(since) = self.limits.limited_since(server.life) else {
             return told;
         };
         let own = self.limits.wanted(now, server.life);
-        told.plus(own.times(self.peers.unheard_since(since)))
+        told.plus(own.times(self.peers.count_silent_since(since)))
     }
 
     /// The limits.
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -12,7 +12,7 @@
 use super::Evacuation;
 use super::FULL_RETRY_AFTER;
 use super::GatewayControl;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
 use crate::PlacementAsk;
 use crate::Refusal;
@@ -30,16 +30,16 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SendStops {
     /// Lives that leave: nothing new is sent.
-    pub leaving: BTreeSet<LifeId>,
+    pub leaving: BTreeSet<IncarnationId>,
     /// Until when lives rest: nothing at all is sent.
-    pub resting: BTreeMap<LifeId, Now>,
+    pub resting: BTreeMap<IncarnationId, Now>,
     /// Lives that named limits: each send asks.
-    pub limited: BTreeSet<LifeId>,
+    pub limited: BTreeSet<IncarnationId>,
 }
 
 impl SendStops {
     /// When the rest of a life is over, if it rests now.
-    pub fn rests_until(&self, now: Now, life: LifeId) -> Option<Now> {
+    pub fn rests_until(&self, now: Now, life: IncarnationId) -> Option<Now> {
         self.resting
             .get(&life)
             .copied()
@@ -50,23 +50,23 @@
 /// What this instance was asked for by answers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rests {
-    by_life: BTreeMap<LifeId, ServerRest>,
+    by_life: BTreeMap<IncarnationId, ServerRest>,
     /// Rises when a server asks for rest.
     version: u64,
 }
 
 impl Rests {
-    pub(super) fn may_send(&self, now: Now, life: LifeId) -> bool {
+    pub(super) fn may_send(&self, now: Now, life: IncarnationId) -> bool {
         let rest = self.by_life.get(&life);
         rest.is_none_or(|rest| rest.may_send(now))
     }
 
-    pub(super) fn rests(&self, now: Now, life: LifeId) -> bool {
+    pub(super) fn rests(&self, now: Now, life: IncarnationId) -> bool {
         let rest = self.by_life.get(&life);
         rest.is_some_and(|rest| !rest.left(now).is_zero())
     }
 
-    pub(super) fn sent(&mut self, now: Now, life: LifeId, request: &str) {
+    pub(super) fn sent(&mut self, now: Now, life: IncarnationId, request: &str) {
         if let Some(rest) = self.by_life.get_mut(&life) {
             rest.sent(now, request);
         }
--- a/crates/core/src/gateway/gateway_control/suspecting.rs
+++ b/crates/core/src/gateway/gateway_control/suspecting.rs
@@ -6,7 +6,7 @@
 use super::GatewayControl;
 use crate::BackendId;
 use crate::Fingerprint;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::ListedState;
 use crate::Now;
 use crate::RAN_WELL_AFTER;
@@ -35,7 +35,7 @@
 struct BrokenRun {
     fingerprint: Fingerprint,
     replica: BackendId,
-    life: LifeId,
+    life: IncarnationId,
     at: Now,
 }
 
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,4 +1,4 @@
-//! Type aliases for the identifiers that cross module borders.
+//! Type aliases for the identifiers that are shared between modules.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 /// Identifies one caller request; unique over all instances.
 pub type RequestId = String;
 
-/// Identifies one generation; it keeps its id over all attempts.
+/// Identifies one generation; the id stays the same over all attempts.
 pub type GenerationId = String;
 
 /// Counts the attempts of one generation, from 1.
@@ -17,7 +17,7 @@
 /// Name of an instance as the platform lists it.
 pub type InstanceId = String;
 
-/// Distinguishes two lives of the process behind one [`InstanceId`].
+/// Distinguishes successive incarnations of the process behind one [`InstanceId`].
 pub type Incarnation = String;
 
 /// Name of an availability zone.
@@ -32,8 +32,9 @@
 /// Name of a backend server.
 pub type BackendId = String;
 
-/// Tells apart the lives of backend servers, also of those that are back under their name.
-pub type LifeId = u64;
+/// Distinguishes the incarnations of backend servers, including those that restart under the same
+/// name.
+pub type IncarnationId = u64;
 
-/// Version of the configuration, assigned by the platform; only grows.
+/// Version of the configuration, assigned by the platform; it never decreases.
 pub type ConfigVersion = u64;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,9 @@
-//! The decisions of iristhread as pure functions of state, event, time and seed.
+//! Decision logic of iristhread as pure functions of state, event, time and seed.
 //!
-//! Nothing in this crate reads a clock, opens a socket or draws from a global
-//! source of randomness: time is passed in as the [`Now`] of the process that
-//! drives it, randomness as a seed. Any driver (the daemon, a test, a simulation)
-//! feeds [`Event`]s to [`Control::handle`] and carries out the [`Command`]s it
-//! returns.
+//! Nothing in this crate reads a clock, opens a socket or uses a global source of randomness: time
+//! is passed in as the [`Now`] of the driving process, randomness as a seed. A driver (the daemon,
+//! a test, a simulation) feeds [`Event`]s to [`Control::handle`] and executes the [`Command`]s that
+//! it returns.
 
 mod completion;
 mod configuration;
@@ -123,8 +122,8 @@
 pub use ids::ConfigVersion;
 pub use ids::GenerationId;
 pub use ids::Incarnation;
+pub use ids::IncarnationId;
 pub use ids::InstanceId;
-pub use ids::LifeId;
 pub use ids::Now;
 pub use ids::RegionId;
 pub use ids::RequestId;
@@ -156,8 +155,8 @@
 pub use membership::message_order::MessageOrder;
 pub use membership::peer_guard::PeerGuard;
 pub use membership::peer_guard::PeerRejection;
+pub use membership::peer_loads::AdvertisedLoads;
 pub use membership::peer_loads::PeerLoads;
-pub use membership::peer_loads::ToldLoads;
 pub use membership::peer_loads::ZoneDigest;
 pub use membership::rendezvous::rendezvous_rank;
 pub use refusal::Refusal;
--- a/crates/core/src/limits/server_limits.rs
+++ b/crates/core/src/limits/server_limits.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::FleetMembers;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::LimitShare;
 use crate::LimitTerms;
 use crate::NamedLimit;
@@ -87,14 +87,14 @@
 /// A request that may be sent.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    life: LifeId,
+    life: IncarnationId,
     at: Now,
 }
 
 /// The limits by life.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    by_life: BTreeMap<LifeId, KnownLimit>,
+    by_life: BTreeMap<IncarnationId, KnownLimit>,
     grants: HashMap<RequestId, Grant>,
     version: u64,
     terms: LimitTerms,
@@ -196,23 +196,23 @@
     }
 
     /// Whether a server is limited now.
-    pub fn has(&self, life: LifeId) -> bool {
+    pub fn has(&self, life: IncarnationId) -> bool {
         self.limit_of(life).is_some()
     }
 
     /// Its limit.
-    pub fn limit_of(&self, life: LifeId) -> Option<RequestRate> {
+    pub fn limit_of(&self, life: IncarnationId) -> Option<RequestRate> {
         self.by_life.get(&life)?.word.limit
     }
 
     /// When this instance learnt that a life has a limit, if it has one.
-    pub fn limited_since(&self, life: LifeId) -> Option<Now> {
+    pub fn limited_since(&self, life: IncarnationId) -> Option<Now> {
         let known = self.by_life.get(&life)?;
         known.word.limit.map(|_| known.limited_since)
     }
 
     /// Lives that are limited now.
-    pub fn lives(&self) -> BTreeSet<LifeId> {
+    pub fn lives(&self) -> BTreeSet<IncarnationId> {
         let limited = self.by_life.iter();
         let limited = limited.filter(|(_, known)| known.word.limit.is_some());
         limited.map(|(life, _)| *life).collect()
@@ -225,7 +225,7 @@
 
     /// Whether something may be sent to a life now, of which the others want `others`: an
     /// unlimited one gets all.
-    pub fn wish(&mut self, now: Now, life: LifeId, others: RequestRate) -> bool {
+    pub fn wish(&mut self, now: Now, life: IncarnationId, others: RequestRate) -> bool {
         let Some(known) = self.by_life.get_mut(&life) else {
             return true;
         };
@@ -234,7 +234,7 @@
     }
 
     /// Keeps the grant of a request that is sent a little later.
-    pub fn keep_grant(&mut self, now: Now, request: &str, life: LifeId) {
+    pub fn keep_grant(&mut self, now: Now, request: &str, life: IncarnationId) {
         if self.has(life) {
             let grant = Grant { life, at: now };
             self.grants.insert(request.to_owned(), grant);
@@ -242,7 +242,7 @@
     }
 
     /// Uses the grant of a request, if it has one for this life.
-    pub fn use_grant(&mut self, now: Now, request: &str, life: LifeId) -> bool {
+    pub fn use_grant(&mut self, now: Now, request: &str, life: IncarnationId) -> bool {
         let grant = self.grants.remove(request);
         let holds = |grant: &Grant| now.saturating_sub(grant.at) < GRANT_LIFETIME;
         grant.filter(holds).is_some_and(|grant| grant.life == life)
@@ -254,13 +254,13 @@
     }
 
     /// What this instance wishes to send to a life.
-    pub fn wanted(&self, now: Now, life: LifeId) -> RequestRate {
+    pub fn wanted(&self, now: Now, life: IncarnationId) -> RequestRate {
         let known = self.by_life.get(&life);
         known.map_or(RequestRate::ZERO, |known| known.share.wanted(now))
     }
 
     /// Drops what is known of a life that has ended.
-    pub fn forget(&mut self, life: LifeId) {
+    pub fn forget(&mut self, life: IncarnationId) {
         let was_known = self.by_life.remove(&life).is_some();
         self.version += u64::from(was_known);
     }
@@ -313,7 +313,7 @@
 
     /// Time until this instance may send a life one request more than were told to wait for
     /// it; `None` if it may send now.
-    pub fn turn_in(&self, now: Now, life: LifeId, others: RequestRate) -> Option<Duration> {
+    pub fn turn_in(&self, now: Now, life: IncarnationId, others: RequestRate) -> Option<Duration> {
         let known = self.by_life.get(&life)?;
         let limit = known.word.limit?;
         if known.share.part(now, limit, others) >= 1.0 {
@@ -328,14 +328,14 @@
 
     /// Notes that a caller was told to come back after so long; the next one is told a later
     /// time.
-    pub fn await_turn(&mut self, now: Now, life: LifeId, left: Duration) {
+    pub fn await_turn(&mut self, now: Now, life: IncarnationId, left: Duration) {
         if let Some(known) = self.by_life.get_mut(&life) {
             known.awaited_until = now + left;
         }
     }
 
     /// Drops what is known of lives that are long gone, and grants that were not used.
-    pub fn expire(&mut self, now: Now, is_listed: impl Fn(LifeId) -> bool) {
+    pub fn expire(&mut self, now: Now, is_listed: impl Fn(IncarnationId) -> bool) {
         self.grants
             .retain(|_, grant| now.saturating_sub(grant.at) < GRANT_LIFETIME);
         let before = self.by_life.len();
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,5 +1,5 @@
-//! The other instances: who is there, in which order and how late their messages come, what they
-//! have put on backend servers.
+//! Membership of the fleet: which other instances are live, in which order and with what delay
+//! their messages arrive, and the load that they have placed on backend servers.
 
 pub(crate) mod delay_estimate;
 pub(crate) mod fleet_members;
--- a/crates/core/src/membership/fleet_members.rs
+++ b/crates/core/src/membership/fleet_members.rs
@@ -21,34 +21,34 @@
 
 pub use fan_out::FanOut;
 
-use fan_out::RELAY_BEAT;
+use fan_out::RELAY_HEARTBEAT_INTERVAL;
 
 /// Shortest time between two heartbeats: news and loads are at most this old
 /// in a small fleet.
-const SHORTEST_BEAT: Duration = Duration::from_millis(200);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two heartbeats per instance that hears them, so that what an
 /// instance receives grows no further.
-const BEAT_PER_MEMBER: Duration = Duration::from_millis(12);
+const HEARTBEAT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(12);
 
 /// Longest time between two heartbeats: what an instance tells counts for 3 s,
 /// and two in a row may be lost.
-const LONGEST_BEAT: Duration = Duration::from_secs(1);
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Silence after which an instance counts as gone, in heartbeats.
-const SILENT_BEATS: u32 = 6;
+const SILENT_HEARTBEATS: u32 = 6;
 
 /// Shortest silence after which an instance counts as gone.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(1_500);
+const MIN_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// How long an instance that fell silent is still sent heartbeats, less often:
 /// longer than most cuts last.
-const REMEMBERED: Duration = Duration::from_secs(120);
+const SILENT_RETENTION: Duration = Duration::from_secs(120);
 
 /// Added to the age of what a peer says was confirmed: the way of a heartbeat and
 /// the wait at both ends and at a relay. Without it, each instance that passes the age on
 /// would make it younger, and few would see an outage.
-const HEARTBEAT_WAY: Duration = Duration::from_millis(100);
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
 /// What an instance says of itself with each heartbeat.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,7 +60,7 @@
     /// Number of the message within that life.
     pub sequence: u64,
     /// Time on its own clock at which it said this.
-    pub said_at: Now,
+    pub sent_at: Now,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Thousandths of a processor core that it has.
@@ -81,23 +81,23 @@
 }
 
 #[derive(Debug)]
-struct Heard {
+struct LastHeartbeat {
     state: MemberState,
     order: MessageOrder,
     delay: DelayEstimate,
-    /// How much longer than usual the last one took.
-    took: Duration,
+    /// How much longer than usual the last one delay_excess.
+    delay_excess: Duration,
 }
 
 #[derive(Debug)]
 struct Member {
-    heard: Option<Heard>,
-    heard_at: Now,
+    last_heartbeat: Option<LastHeartbeat>,
+    received_at: Now,
 }
 
 impl Member {
     fn state(&self) -> Option<&MemberState> {
-        self.heard.as_ref().map(|heard| &heard.state)
+        self.last_heartbeat.as_ref().map(|last| &last.state)
     }
 }
 
@@ -110,9 +110,9 @@
     own_address: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
     members: BTreeMap<SocketAddr, Member>,
-    to_greet: BTreeSet<SocketAddr>,
+    immediate_targets: BTreeSet<SocketAddr>,
     has_relays: bool,
-    beats: u64,
+    heartbeat_count: u64,
 }
 
 impl FleetMembers {
@@ -132,9 +132,9 @@
             own_address,
             seeds: seeds.collect(),
             members: BTreeMap::new(),
-            to_greet: BTreeSet::new(),
+            immediate_targets: BTreeSet::new(),
             has_relays: false,
-            beats: 0,
+            heartbeat_count: 0,
         }
     }
 
@@ -143,84 +143,85 @@
     pub fn hear(&mut self, now: Now, address: SocketAddr, mut state: MemberState) -> Arrival {
         self.has_relays |= state.has_relays;
         let member = self.members.entry(address).or_insert(Member {
-            heard: None,
-            heard_at: now,
+            last_heartbeat: None,
+            received_at: now,
         });
-        let Some(heard) = &mut member.heard else {
+        let Some(last) = &mut member.last_heartbeat else {
             let order = MessageOrder::new(state.incarnation.clone(), state.sequence);
-            let delay = DelayEstimate::new(state.said_at, now);
-            member.heard = Some(Heard {
+            let delay = DelayEstimate::new(state.sent_at, now);
+            member.last_heartbeat = Some(LastHeartbeat {
                 state,
                 order,
                 delay,
-                took: Duration::ZERO,
+                delay_excess: Duration::ZERO,
             });
-            member.heard_at = now;
-            return Arrival::FirstOfLife;
+            member.received_at = now;
+            return Arrival::FirstOfIncarnation;
         };
-        let arrival = heard.order.arrive(&state.incarnation, state.sequence);
-        heard.took = match arrival {
+        let arrival = last.order.arrive(&state.incarnation, state.sequence);
+        last.delay_excess = match arrival {
             Arrival::Old => return arrival,
-            Arrival::Newer => heard.delay.delay(state.said_at, now),
-            Arrival::FirstOfLife => {
-                heard.delay = DelayEstimate::new(state.said_at, now);
+            Arrival::Newer => last.delay.delay(state.sent_at, now),
+            Arrival::FirstOfIncarnation => {
+                last.delay = DelayEstimate::new(state.sent_at, now);
                 Duration::ZERO
             }
         };
-        let took = heard.took;
-        let earlier = |at: Now| at.saturating_sub(took);
+        let delay_excess = last.delay_excess;
+        let earlier = |at: Now| at.saturating_sub(delay_excess);
         state.config_confirmed_at = state.config_confirmed_at.map(earlier);
         state.list_confirmed_at = state.list_confirmed_at.map(earlier);
-        heard.state = state;
-        member.heard_at = member.heard_at.max(earlier(now));
+        last.state = state;
+        member.received_at = member.received_at.max(earlier(now));
         arrival
     }
 
-    /// How much longer than usual the last heartbeat of an instance took.
-    pub fn delay_of(&self, address: SocketAddr) -> Duration {
+    /// How much longer than usual the last heartbeat of an instance delay_excess.
+    pub fn heartbeat_delay(&self, address: SocketAddr) -> Duration {
         let member = self.members.get(&address);
-        let heard = member.and_then(|member| member.heard.as_ref());
-        heard.map_or(Duration::ZERO, |heard| heard.took)
+        let last = member.and_then(|member| member.last_heartbeat.as_ref());
+        last.map_or(Duration::ZERO, |last| last.delay_excess)
     }
 
     /// Notes that somebody knows an instance at an address.
-    pub fn hear_of(&mut self, now: Now, address: SocketAddr) {
+    pub fn learn_address(&mut self, now: Now, address: SocketAddr) {
         if address != self.own_address {
-            let unheard = Member {
-                heard: None,
-                heard_at: now,
+            let unconfirmed = Member {
+                last_heartbeat: None,
+                received_at: now,
             };
-            self.members.entry(address).or_insert(unheard);
+            self.members.entry(address).or_insert(unconfirmed);
         }
     }
 
     /// Notes that an instance which came to this one by itself knows few others:
     /// the next heartbeat goes there, too.
-    pub fn greet(&mut self, address: SocketAddr) {
-        self.to_greet.insert(address);
+    pub fn queue_immediate_heartbeat(&mut self, address: SocketAddr) {
+        self.immediate_targets.insert(address);
     }
 
     /// Time until the next heartbeat.
-    pub fn beat_interval(&self, now: Now) -> Duration {
-        match self.is_candidate(now) {
-            true => RELAY_BEAT,
-            false => self.usual_interval(now),
+    pub fn heartbeat_interval(&self, now: Now) -> Duration {
+        match self.is_relay_candidate(now) {
+            true => RELAY_HEARTBEAT_INTERVAL,
+            false => self.base_heartbeat_interval(now),
         }
     }
 
     /// Time between the heartbeats of most instances.
-    fn usual_interval(&self, now: Now) -> Duration {
-        let hearing = match self.has_relays {
+    fn base_heartbeat_interval(&self, now: Now) -> Duration {
+        let receivers = match self.has_relays {
             true => self.neighbours(now).len(),
             false => self.members.len(),
         };
-        let hearing = u32::try_from(hearing).unwrap_or(u32::MAX);
-        (BEAT_PER_MEMBER * hearing).clamp(SHORTEST_BEAT, LONGEST_BEAT)
+        let receivers = u32::try_from(receivers).unwrap_or(u32::MAX);
+        (HEARTBEAT_INTERVAL_PER_MEMBER * receivers)
+            .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
     }
 
     /// When something was confirmed of which a heartbeat tells the age.
     pub fn confirmed_at(now: Now, age: Duration) -> Now {
-        now.saturating_sub(age + HEARTBEAT_WAY)
+        now.saturating_sub(age + HEARTBEAT_TRANSIT)
     }
 
     /// Live instances that have a newer configuration or list.
@@ -301,13 +302,13 @@
 
     fn live(&self, now: Now) -> impl Iterator<Item = (SocketAddr, &Member)> {
         let silence = self.longest_silence(now);
-        let is_live = move |member: &Member| now.saturating_sub(member.heard_at) < silence;
+        let is_live = move |member: &Member| now.saturating_sub(member.received_at) < silence;
         let live = self.members.iter().filter(move |(_, m)| is_live(m));
         live.map(|(address, member)| (*address, member))
     }
 
     /// Silence after which an instance counts as gone.
     fn longest_silence(&self, now: Now) -> Duration {
-        SHORTEST_SILENCE.max(self.usual_interval(now) * SILENT_BEATS)
+        MIN_SILENCE.max(self.base_heartbeat_interval(now) * SILENT_HEARTBEATS)
     }
 }
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -22,20 +22,20 @@
 
 /// Age from which the list counts as lost, on top of two heartbeats: engines are then asked
 /// themselves, which has a price.
-const LOST_AFTER: Duration = Duration::from_millis(1_300);
+const STALE_AFTER: Duration = Duration::from_millis(1_300);
 
 /// Readers of the list in each availability zone of a fleet with relays while nobody's
 /// knowledge is fresh: a whole list is many pages.
-const READERS_IN_TROUBLE: usize = 2;
+const READERS_DURING_OUTAGE: usize = 2;
 
-/// Time for which the same instances try to read the list in trouble; then it is the turn
+/// Time for which the same instances try to read the list in trouble; then it is the topic
 /// of others, of which one may be let in where these are not.
-const TURN: Duration = Duration::from_secs(1);
+const READER_TERM: Duration = Duration::from_secs(1);
 
 impl FleetMembers {
     /// Whether the list that was confirmed then counts as lost.
-    pub fn is_lost(&self, now: Now, confirmed_at: Option<Now>) -> bool {
-        let limit = LOST_AFTER + self.usual_interval(now) * 2;
+    pub fn is_stale(&self, now: Now, confirmed_at: Option<Now>) -> bool {
+        let limit = STALE_AFTER + self.base_heartbeat_interval(now) * 2;
         confirmed_at.is_none_or(|at| now.saturating_sub(at) > limit)
     }
 
@@ -54,20 +54,20 @@
         };
         if self.is_old(now, Some(confirmed_at)) {
             let old_after = self.waits(now).old_after();
-            return now.saturating_sub(confirmed_at) >= old_after + self.slot(now);
+            return now.saturating_sub(confirmed_at) >= old_after + self.read_delay(now);
         }
         can_read
             && self.is_reading_zone(now)
-            && self.place(&self.zone, now, |state| state.can_read) < READERS_PER_ZONE
+            && self.rank(&self.zone, now, |state| state.can_read) < READERS_PER_ZONE
     }
 
     /// The same for the list of backend servers, which few read in trouble where it is large,
     /// and while all start.
     pub fn reads_list(&self, now: Now, confirmed_at: Option<Now>, can_read: bool) -> bool {
-        let by_turns = self.has_relays || confirmed_at.is_none();
-        if by_turns && self.is_old(now, confirmed_at) {
-            let turn = format!("{}/{}", self.zone, now.as_secs() / TURN.as_secs());
-            return self.place(&turn, now, |_| true) < READERS_IN_TROUBLE;
+        let is_rotating = self.has_relays || confirmed_at.is_none();
+        if is_rotating && self.is_old(now, confirmed_at) {
+            let topic = format!("{}/{}", self.zone, now.as_secs() / READER_TERM.as_secs());
+            return self.rank(&topic, now, |_| true) < READERS_DURING_OUTAGE;
         }
         self.reads(now, confirmed_at, can_read)
     }
@@ -76,22 +76,22 @@
     pub fn waits(&self, now: Now) -> ReadingWaits {
         ReadingWaits {
             has_relays: self.has_relays,
-            beat: self.usual_interval(now),
+            beat: self.base_heartbeat_interval(now),
         }
     }
 
     /// How much later than the first of its zone this instance reads by itself.
-    fn slot(&self, now: Now) -> Duration {
-        let place = self.place(&self.zone, now, |_| true);
-        let place = u32::try_from(place).unwrap_or(u32::MAX);
-        SLOT.saturating_mul(place).min(self.waits(now).last_slot())
+    fn read_delay(&self, now: Now) -> Duration {
+        let rank = self.rank(&self.zone, now, |_| true);
+        let rank = u32::try_from(rank).unwrap_or(u32::MAX);
+        SLOT.saturating_mul(rank).min(self.waits(now).last_slot())
     }
 
     fn is_reading_zone(&self, now: Now) -> bool {
         if !self.has_relays {
             return true;
         }
-        let zones = self.zones_heard(now);
+        let zones = self.live_zones(now);
         let zones = zones.iter().map(String::as_str).chain([self.zone.as_str()]);
         let rank = rendezvous_rank(READERS_TOPIC, zones);
         rank.iter()
@@ -99,14 +99,14 @@
             .any(|zone| *zone == self.zone)
     }
 
-    /// The place of this instance by rank among those in its zone that count.
-    fn place(&self, topic: &str, now: Now, counts: impl Fn(&MemberState) -> bool) -> usize {
+    /// The rank of this instance by rank among those in its zone that count.
+    fn rank(&self, topic: &str, now: Now, counts: impl Fn(&MemberState) -> bool) -> usize {
         let peers = self.live_states(now);
         let peers = peers.filter(|state| state.zone == self.zone && counts(state));
         let names = peers.map(|state| state.instance.as_str());
         let names = names.chain([self.instance.as_str()]);
         let rank = rendezvous_rank(topic, names);
-        let place = rank.iter().position(|name| *name == self.instance);
-        place.unwrap_or_default()
+        let rank = rank.iter().position(|name| *name == self.instance);
+        rank.unwrap_or_default()
     }
 }
--- a/crates/core/src/membership/keyring.rs
+++ b/crates/core/src/membership/keyring.rs
@@ -1,17 +1,17 @@
-//! The fleet's shared keys: sign with the first, verify with any.
+//! Shared keys of the fleet: the first key signs, any key verifies.
 
 use thiserror::Error;
 
-/// Bytes of a key, hex in settings.
+/// Length of a key in bytes; settings hold it in hex.
 const KEY_BYTES: usize = 32;
 
-/// Bytes of a tag: 128 bits are ample against forgery online.
+/// Length of a tag in bytes: 128 bits suffice against online forgery.
 const TAG_BYTES: usize = 16;
 
-/// Why a keyring could not be built.
+/// Error in the list of keys of a keyring.
 #[derive(Debug, Error, Eq, PartialEq)]
 pub enum KeyringError {
-    /// There is no key to sign with.
+    /// The list of keys is empty.
     #[error("at least one key is needed")]
     Empty,
     /// A key is not 64 hex digits.
@@ -24,14 +24,14 @@
 
 /// Signs and verifies cursors, tickets and peer messages.
 ///
-/// Two keys may be listed while operators replace one by the other.
+/// Two keys may be listed while operators replace one with the other.
 #[derive(Clone)]
 pub struct Keyring {
     keys: Vec<[u8; KEY_BYTES]>,
 }
 
 impl Keyring {
-    /// Reads keys as hex.
+    /// Parses keys from hex.
     ///
     /// # Errors
     ///
@@ -49,13 +49,13 @@
         })
     }
 
-    /// The tag of `message` for `purpose`, hex.
+    /// Returns the hex tag of `message` for `purpose`, signed with the first key.
     pub fn sign(&self, purpose: &str, message: &[u8]) -> String {
         hex::encode(&tag(&self.keys[0], purpose, message).as_bytes()[..TAG_BYTES])
     }
 
-    /// Whether `given` is the tag of `message` under any key; constant time
-    /// per key.
+    /// Returns whether `given` is the tag of `message` under any key. The comparison takes constant
+    /// time per key.
     pub fn verify(&self, purpose: &str, message: &[u8], given: &str) -> bool {
         let mut full = [0_u8; TAG_BYTES];
         if hex::decode_to_slice(given, &mut full).is_err() {
--- a/crates/core/src/membership/load_share.rs
+++ b/crates/core/src/membership/load_share.rs
@@ -1,4 +1,4 @@
-//! What instances have put on backend servers, as they tell each other.
+//! Load that instances have placed on backend servers, as they advertise it to each other.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,19 @@
 use crate::BackendId;
 use crate::RequestRate;
 
-/// What one instance has put on one backend server.
+/// Load that one instance has placed on one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadShare {
-    /// Requests under way, sessions included.
+    /// Requests in progress, sessions included.
     pub requests: u32,
-    /// Prompt tokens of sessions that have not begun to answer.
+    /// Prompt tokens of sessions that have not produced a token yet.
     pub unread_tokens: u64,
-    /// Tokens in memory of running sessions, as expected half-way through.
+    /// Tokens in memory of running sessions, as expected half-way through each session.
     pub session_tokens: u64,
-    /// Tokens of copies of sessions that run elsewhere.
+    /// Tokens of the backups held for sessions that run elsewhere.
     pub copy_tokens: u64,
-    /// What would be sent if the backend server had not named a limit; nothing unless it has.
+    /// Demand: the rate of requests that would be sent if the backend server had not announced a
+    /// limit. Zero unless it has announced one.
     pub wanted: RequestRate,
 }
 
@@ -33,7 +34,7 @@
         self.wanted = self.wanted.plus(other.wanted);
     }
 
-    /// Takes a share away that was added before.
+    /// Subtracts a share that was added before.
     pub fn remove(&mut self, other: &LoadShare) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
@@ -42,7 +43,7 @@
         self.wanted = self.wanted.minus(other.wanted);
     }
 
-    /// Tokens that the share takes in memory.
+    /// Returns the tokens that the share occupies in memory.
     pub fn memory_tokens(&self) -> u64 {
         self.session_tokens + self.copy_tokens
     }
--- a/crates/core/src/membership/message_order.rs
+++ b/crates/core/src/membership/message_order.rs
@@ -1,24 +1,23 @@
-//! The order of one peer's messages over several lives of its process.
+//! Order of one peer's messages over several incarnations of its process.
 
 use crate::Incarnation;
 
-/// Earlier lives that are remembered, so that a late message of one changes
-/// nothing: a message is late by seconds, a process restarts a few times within
-/// them at most.
-const EARLIER_LIVES: usize = 4;
+/// Earlier incarnations that are remembered, so that a late message of one of them is ignored. A
+/// message is late by seconds, and a process restarts at most a few times within them.
+const MAX_EARLIER_INCARNATIONS: usize = 4;
 
-/// What a message is to those that came before it.
+/// Position of a message relative to those received before.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Arrival {
-    /// The first of this life.
-    FirstOfLife,
-    /// Newer than all of this life.
+    /// First message of this incarnation.
+    FirstOfIncarnation,
+    /// Newer than all others of this incarnation.
     Newer,
-    /// Repeated, overtaken, or of an earlier life; it must change nothing.
+    /// Duplicate, reordered, or of an earlier incarnation; it must be ignored.
     Old,
 }
 
-/// The latest message of one peer.
+/// Incarnation and sequence number of the latest message of one peer.
 #[derive(Clone, Debug)]
 pub struct MessageOrder {
     incarnation: Incarnation,
@@ -27,7 +26,7 @@
 }
 
 impl MessageOrder {
-    /// Begins with a first message.
+    /// Starts with a first message.
     pub fn new(incarnation: Incarnation, sequence: u64) -> Self {
         MessageOrder {
             incarnation,
@@ -36,12 +35,12 @@
         }
     }
 
-    /// The life that was heard last.
+    /// Returns the incarnation of the latest message.
     pub fn incarnation(&self) -> &Incarnation {
         &self.incarnation
     }
 
-    /// Notes a message.
+    /// Records a message and returns its position relative to the earlier ones.
     pub fn arrive(&mut self, incarnation: &Incarnation, sequence: u64) -> Arrival {
         if *incarnation == self.incarnation {
             if sequence <= self.sequence {
@@ -55,9 +54,9 @@
         }
         let before = std::mem::replace(&mut self.incarnation, incarnation.clone());
         self.earlier.push(before);
-        let surplus = self.earlier.len().saturating_sub(EARLIER_LIVES);
+        let surplus = self.earlier.len().saturating_sub(MAX_EARLIER_INCARNATIONS);
         self.earlier.drain(..surplus);
         self.sequence = sequence;
-        Arrival::FirstOfLife
+        Arrival::FirstOfIncarnation
     }
 }
--- a/crates/core/src/membership/peer_guard.rs
+++ b/crates/core/src/membership/peer_guard.rs
@@ -1,4 +1,4 @@
-//! Refuses peer messages that are forged, replayed or for somebody else.
+//! Rejects peer messages that are forged, replayed or addressed to another receiver.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -14,24 +14,24 @@
 /// Sequence numbers remembered per sender; older ones count as replayed.
 const WINDOW: usize = 1024;
 
-/// Senders remembered; one entry per instance on the list is ample.
+/// Senders remembered; one entry per listed instance stays well below this.
 const MAX_SENDERS: usize = 4096;
 
-/// Why a message changed nothing.
+/// Reason for which a peer message was rejected.
 #[derive(Debug, Error, Eq, PartialEq)]
 pub enum PeerRejection {
     /// The tag does not match.
     #[error("the peer message is not signed by this fleet")]
     Forged,
-    /// It is addressed to another instance or to an earlier life of this one.
+    /// The message is addressed to another instance or to an earlier incarnation of this one.
     #[error("the peer message is for another receiver")]
     WrongReceiver,
-    /// It was received before, or is older than the window.
+    /// The message was received before, or is older than the window.
     #[error("the peer message was replayed")]
     Replayed,
 }
 
-/// Checks the messages received by one process life.
+/// Checks the messages received by one incarnation of the process.
 #[derive(Debug)]
 pub struct PeerGuard {
     instance: InstanceId,
@@ -47,11 +47,11 @@
         }
     }
 
-    /// Accepts a message once.
+    /// Accepts each message once.
     ///
     /// # Errors
     ///
-    /// [`PeerRejection`]; the message must then change nothing.
+    /// [`PeerRejection`]; the message must then be ignored.
     pub fn accept(
         &mut self,
         keyring: &Keyring,
@@ -71,7 +71,7 @@
         self.remember((from.0.clone(), from.1.clone()), sequence)
     }
 
-    /// The tag of a message to send.
+    /// Returns the tag of a message to send.
     pub fn sign(
         keyring: &Keyring,
         from: (&InstanceId, &Incarnation),
--- a/crates/core/src/membership/rendezvous.rs
+++ b/crates/core/src/membership/rendezvous.rs
@@ -2,15 +2,15 @@
 
 /// Orders `members` by their weight for `topic`, highest first.
 ///
-/// Every process that holds the same members gets the same order, and a member
-/// that leaves changes no other member's place relative to the rest.
+/// Every process with the same members computes the same order, and removing a member does not
+/// change the relative order of the others.
 pub fn rendezvous_rank<'a>(topic: &str, members: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     let mut weighted: Vec<(u64, &str)> = members.map(|m| (weight(topic, m), m)).collect();
     weighted.sort_by(|a, b| b.cmp(a));
     weighted.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The weight of a member for a topic.
+/// Returns the weight of a member for a topic.
 pub(crate) fn weight(topic: &str, member: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(topic.len() as u64).to_le_bytes());
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -1,18 +1,18 @@
-//! Why a request is refused, and when it may come back.
+//! Reasons for refusing a request, and when the caller may retry.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Reason of a refusal; each is proved `not_run` by construction, because it
-/// is decided before anything is sent to a backend server.
+/// Reason of a refusal. A refused request is known to be `not_run`, because the decision is made
+/// before anything is sent to a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The workspace has sent more requests a second than its limit.
+    /// The workspace has exceeded its limit of requests per second.
     RateLimit,
-    /// The workspace has as many requests open as its limit.
+    /// The workspace has reached its limit of open requests.
     ConcurrencyLimit,
     /// The entry queue of the workspace is full.
     QueueFull,
@@ -24,16 +24,17 @@
     RetryBudget,
     /// The instance has no configuration in force.
     NotReady,
-    /// Backend servers have ended under requests with the same content.
+    /// Backend servers have crashed under requests with the same fingerprint.
     Quarantined,
-    /// All backend servers that could serve the request have asked for rest.
+    /// All backend servers that could serve the request are backing off.
     Resting,
-    /// All that could serve it take no more now: they have named limits.
+    /// All backend servers that could serve the request have announced limits and accept no more at
+    /// present.
     Limited,
 }
 
 impl RefusalKind {
-    /// The form used in metrics.
+    /// Returns the label value used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RefusalKind::RateLimit => "rate_limit",
@@ -50,23 +51,24 @@
     }
 }
 
-/// Advice to a caller when nothing is there that could serve it.
-const NOTHING_THERE_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Retry-After for a caller when no configuration or backend server can serve the request.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Longest advice to a caller whose request is quarantined: past the patience of any.
-const LONGEST_QUARANTINE_ADVICE: Duration = Duration::from_secs(60);
+/// Upper bound of the Retry-After for a quarantined request: longer than the timeout of any caller.
+const MAX_QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Shortest: the time in which one instance tries such a request.
-const SHORTEST_QUARANTINE_ADVICE: Duration = Duration::from_secs(1);
+/// Lower bound of the Retry-After for a quarantined request: the interval at which one instance
+/// tries such a request.
+const MIN_QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A refusal with the time after which a retry makes sense.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub kind: RefusalKind,
-    /// When to come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
-    /// A sentence for the caller that names the limit.
+    /// Message for the caller, naming the limit.
     pub message: String,
 }
 
@@ -80,26 +82,26 @@
         }
     }
 
-    /// No configuration that names the workspace is in force.
+    /// Creates a refusal for a workspace that no configuration in force names.
     pub fn not_ready() -> Self {
         Refusal::new(
             RefusalKind::NotReady,
-            NOTHING_THERE_RETRY_AFTER,
+            UNAVAILABLE_RETRY_AFTER,
             "no configuration that names the workspace is in force here",
         )
     }
 
-    /// So many backend servers have ended under requests with the same content, which is
-    /// quarantined for a time.
+    /// Creates a refusal for a quarantined request: `ends` backend servers have crashed under
+    /// requests with the same fingerprint. `left` is the remaining quarantine time.
     pub fn quarantined(ends: usize, left: Duration) -> Self {
         Refusal::new(
             RefusalKind::Quarantined,
-            left.clamp(SHORTEST_QUARANTINE_ADVICE, LONGEST_QUARANTINE_ADVICE),
+            left.clamp(MIN_QUARANTINE_RETRY_AFTER, MAX_QUARANTINE_RETRY_AFTER),
             format!("{ends} backend servers have ended under requests like this one"),
         )
     }
 
-    /// All backend servers that could serve a request have asked for rest.
+    /// Creates a refusal because all backend servers of `of` are backing off, for `left` at least.
     pub fn resting(of: &str, left: Duration) -> Self {
         Refusal::new(
             RefusalKind::Resting,
@@ -108,7 +110,7 @@
         )
     }
 
-    /// All backend servers that could serve a request have named limits.
+    /// Creates a refusal because all backend servers of `of` have announced limits.
     pub fn limited(of: &str, left: Duration) -> Self {
         Refusal::new(
             RefusalKind::Limited,
@@ -117,11 +119,11 @@
         )
     }
 
-    /// No backend server can serve a model now.
+    /// Creates a refusal because no backend server can serve the model now.
     pub fn no_backend(model: &str) -> Self {
         Refusal::new(
             RefusalKind::NoBackend,
-            NOTHING_THERE_RETRY_AFTER,
+            UNAVAILABLE_RETRY_AFTER,
             format!("no backend server that serves {model} is available"),
         )
     }
--- a/crates/core/src/servers/suspect.rs
+++ b/crates/core/src/servers/suspect.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
 
 /// Time after its first event from which on a stream is taken to have run well where it
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServerEnd {
     /// The life.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// When it was seen first.
     pub at: Now,
 }
@@ -99,7 +99,7 @@
     }
 
     /// Whether a life ended under it.
-    pub fn has_ended(&self, life: LifeId) -> bool {
+    pub fn has_ended(&self, life: IncarnationId) -> bool {
         self.ends.iter().any(|end| end.life == life)
     }
 
--- a/crates/core/src/servers/suspicions.rs
+++ b/crates/core/src/servers/suspicions.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::Fingerprint;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
 use crate::ServerEnd;
 use crate::Suspect;
@@ -63,7 +63,7 @@
 
 /// Added to the age of a proof that is heard, for the way of a heartbeat: without it, a
 /// proof that is passed on would get younger and speak against later ends.
-const HEARTBEAT_WAY: Duration = Duration::from_millis(100);
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
 /// What is to be done with a content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ToldEnd {
     /// The life that ended.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// Milliseconds since it was seen.
     pub age_ms: u64,
 }
@@ -171,7 +171,7 @@
         let before = self.verdict(fingerprint);
         let suspect = self.entry(now, fingerprint, proven_at);
         let heard = told.proof_age_ms.map(at);
-        let heard = heard.map(|proven| proven.saturating_sub(HEARTBEAT_WAY));
+        let heard = heard.map(|proven| proven.saturating_sub(HEARTBEAT_TRANSIT));
         let proven_at = heard.max(proven_at);
         let is_cleared = proven_at.is_some_and(|proven| suspect.prove(now, proven));
         for end in &told.ends {
--- a/crates/core/src/timeline.rs
+++ b/crates/core/src/timeline.rs
@@ -1,4 +1,4 @@
-//! A bounded ring of typed events, for the time line over all processes.
+//! A bounded ring buffer of typed events, from which the timeline over all processes is built.
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,7 @@
 use crate::RequestId;
 use crate::WorkspaceId;
 
-/// What happened.
+/// An event on the timeline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum TimelineEvent {
@@ -24,7 +24,7 @@
     Submitted {
         /// Workspace of the caller.
         workspace: WorkspaceId,
-        /// Model asked for.
+        /// Requested model.
         model: String,
         /// Attempt that this submission is for.
         attempt: Attempt,
@@ -36,98 +36,98 @@
     },
     /// A backend server was chosen.
     Placed {
-        /// The chosen one.
+        /// Chosen backend server.
         engine: BackendId,
-        /// Attempt that it runs.
+        /// Attempt that the backend server runs.
         attempt: Attempt,
-        /// All that were compared, with scores and reasons.
+        /// All compared candidates, with scores and reasons.
         candidates: Vec<Candidate>,
     },
     /// The request was refused before anything was sent.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         kind: RefusalKind,
         /// Seconds after which a retry makes sense.
         retry_after_s: u64,
     },
     /// The first token of an attempt reached the instance.
     FirstToken {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
     },
-    /// An attempt was given up.
+    /// An attempt was abandoned.
     AttemptLost {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
         /// Backend server that ran it.
         engine: BackendId,
-        /// What was seen.
+        /// Observed cause of the loss.
         cause: String,
-        /// Tokens delivered to the caller by then.
+        /// Tokens delivered to the caller before the loss.
         delivered: u32,
     },
     /// The engine displaced the session and will resume it.
     Preempted {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// Backend server that did it.
+        /// Backend server that preempted the session.
         engine: BackendId,
     },
-    /// A caller came back with a cursor.
+    /// A caller reconnected with a cursor.
     Reconnected {
-        /// Tokens it holds.
+        /// Tokens that the caller has already received.
         delivered: u32,
     },
-    /// The caller's connection ended before the stream did.
+    /// The caller's connection closed before the stream ended.
     CallerLost {
-        /// Tokens written towards it by then.
+        /// Tokens written to the connection before it closed.
         delivered: u32,
     },
     /// The request ended.
     Ended {
-        /// Outcome told to the caller.
+        /// Outcome reported to the caller.
         outcome: Outcome,
-        /// Tokens delivered in all.
+        /// Total number of tokens delivered.
         delivered: u32,
-        /// Why it ended.
+        /// Reason for the end.
         reason: String,
     },
-    /// A call to a plain service was forwarded to the instance of its ticket.
+    /// A call to a service without an engine was forwarded to the instance named in its ticket.
     Forwarded {
-        /// That instance.
+        /// Instance that the call was forwarded to.
         instance: InstanceId,
     },
-    /// A configuration came into force.
+    /// A configuration was put in force.
     ConfigInForce {
-        /// Its version.
+        /// Version of the configuration.
         version: ConfigVersion,
-        /// Where it came from.
+        /// Source of the configuration.
         source: String,
     },
-    /// A configuration was refused; the last good one stays in force.
+    /// A configuration was refused; the last valid one stays in force.
     ConfigRefused {
-        /// Its version.
+        /// Version of the configuration.
         version: ConfigVersion,
-        /// The first faults found.
+        /// First validation errors.
         reason: String,
     },
 }
 
-/// One event with its place in time and space.
+/// One event with its time and the instance that recorded it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TimelineRecord {
     /// Hybrid logical time.
     pub time: HybridTime,
-    /// Instance that recorded it.
+    /// Instance that recorded the event.
     pub instance: InstanceId,
-    /// Request that it is about, if any.
+    /// Request that the event concerns, if any.
     pub request: Option<RequestId>,
-    /// What happened.
+    /// An event on the timeline.
     #[serde(flatten)]
     pub event: TimelineEvent,
 }
 
-/// The ring of one process.
+/// Ring buffer of the timeline records of one process.
 #[derive(Debug)]
 pub struct Timeline {
     instance: InstanceId,
@@ -136,7 +136,7 @@
 }
 
 impl Timeline {
-    /// Creates a ring for at most `capacity` records.
+    /// Creates a ring buffer for at most `capacity` records.
     pub fn new(instance: InstanceId, capacity: usize) -> Self {
         Timeline {
             instance,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Appends a record and drops the oldest when full.
+    /// Appends a record; drops the oldest one if the buffer is full.
     pub fn record(&mut self, time: HybridTime, request: Option<RequestId>, event: TimelineEvent) {
         if self.records.len() == self.capacity {
             self.records.pop_front();
@@ -158,8 +158,8 @@
         });
     }
 
-    /// Records after `after`, oldest first, of one request (with those that came
-    /// back for its generation, `ID.…`) or of all.
+    /// Returns the records after `after`, oldest first, either of all requests or of one. The
+    /// records of one request include those of its reconnections, whose ids have the form `ID.…`.
     pub fn since(&self, after: HybridTime, request: Option<&str>) -> Vec<TimelineRecord> {
         let wanted = |record: &&TimelineRecord| {
             record.time > after && request.is_none_or(|id| is_about(record, id))
--- a/crates/core/tests/config_scene/instance.rs
+++ b/crates/core/tests/config_scene/instance.rs
@@ -309,17 +309,17 @@
     pub fn beat(&mut self, now: Now, random: &mut Pcg32) -> Vec<(usize, Beat)> {
         let mut sent = Vec::new();
         if now >= self.beats_at {
-            self.beats_at = now + self.members.beat_interval(now);
+            self.beats_at = now + self.members.heartbeat_interval(now);
             let fan_out = self.members.fan_out(now, random);
             let mut beat = self.own_beat(now, random);
             for to in &fan_out.direct {
                 sent.push((number(to), beat.clone()));
             }
             beat.pass_on = true;
-            for to in fan_out.relay.iter().chain(&fan_out.far) {
+            for to in fan_out.relay.iter().chain(&fan_out.remote_relays) {
                 sent.push((number(to), beat.clone()));
             }
-            if fan_out.passes_on {
+            if fan_out.forwards_to_zone {
                 self.bundle.push(beat);
             }
         }
@@ -341,7 +341,7 @@
                 instance: format!("i{}", self.own),
                 incarnation: format!("life {}", self.life),
                 sequence: self.sequence,
-                said_at: now,
+                sent_at: now,
                 zone: self.zone.clone(),
                 core_millis: 250,
                 has_relays: self.members.has_relays(),
@@ -352,7 +352,7 @@
                 can_read: self.can_read,
             },
             config_age: confirmed_at.map(|at| now.saturating_sub(at)),
-            addresses: self.members.told_addresses(now, random),
+            addresses: self.members.advertised_addresses(now, random),
             pass_on: false,
         }
     }
@@ -376,10 +376,10 @@
             return;
         }
         for address in &beat.addresses {
-            self.members.hear_of(now, *address);
+            self.members.learn_address(now, *address);
         }
-        if arrival == Arrival::FirstOfLife {
-            self.members.greet(beat.address);
+        if arrival == Arrival::FirstOfIncarnation {
+            self.members.queue_immediate_heartbeat(beat.address);
             self.beats_at = self.beats_at.min(now + GATHERING);
         }
         if is_ahead && matches!(self.fetch, Fetch::Idle) {
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -12,6 +12,7 @@
 use gateway_scene::engine;
 use gateway_scene::ms;
 use gateway_scene::terms;
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::GatewayConfig;
 use iristhread_core::GatewayControl;
 use iristhread_core::GatewayTerms;
@@ -24,7 +25,6 @@
 use iristhread_core::ReplicaList;
 use iristhread_core::RequestClass;
 use iristhread_core::RunEnd;
-use iristhread_core::ToldLoads;
 use iristhread_core::ZoneDigest;
 use test_case::test_case;
 
@@ -69,7 +69,7 @@
     let mut tell = |from: usize, digest: Option<ZoneDigest>| {
         control.hear_peer(
             START,
-            ToldLoads {
+            AdvertisedLoads {
                 instance: format!("i{from}"),
                 incarnation: "life".to_owned(),
                 sequence: 1,
--- a/crates/core/tests/gateway_ending.rs
+++ b/crates/core/tests/gateway_ending.rs
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::GatewayControl;
 use iristhread_core::GatewayTerms;
 use iristhread_core::Now;
@@ -16,7 +17,6 @@
 use iristhread_core::ReplicaChange;
 use iristhread_core::RequestClass;
 use iristhread_core::RunEnd;
-use iristhread_core::ToldLoads;
 use test_case::test_case;
 
 use gateway_scene::ask;
@@ -282,7 +282,7 @@
             let zone = if place < 2 { "z1" } else { "z2" };
             control.hear_peer(
                 now,
-                ToldLoads {
+                AdvertisedLoads {
                     zone: zone.to_owned(),
                     ..told(name, 1, BTreeMap::new())
                 },
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -155,8 +155,8 @@
     let mut random = Pcg32::seed_from_u64(1);
     let mut fleet = members(2);
     assert_eq!(fleet.fan_out(ms(0), &mut random).direct, [address(1)]);
-    fleet.hear_of(ms(0), address(7));
-    fleet.hear_of(ms(0), address(2));
+    fleet.learn_address(ms(0), address(7));
+    fleet.learn_address(ms(0), address(2));
     let mut targets = fleet.fan_out(ms(0), &mut random).direct;
     targets.sort();
     assert_eq!(targets, [address(1), address(7)], "never to itself");
@@ -190,7 +190,7 @@
     }
     let mut random = Pcg32::seed_from_u64(1);
     let fan_out = fleet.fan_out(ms(0), &mut random);
-    assert_eq!(fleet.beat_interval(ms(0)), ms(expected_ms));
+    assert_eq!(fleet.heartbeat_interval(ms(0)), ms(expected_ms));
     let targets = fan_out.direct.len() + usize::from(fan_out.relay.is_some());
     assert!(targets <= 31, "{targets} targets");
 }
@@ -279,5 +279,8 @@
 #[test_case(133, 133; "a large fleet of today")]
 #[test_case(3_000, 300; "three thousand")]
 fn a_relay_tells_other_zones_as_often_as_its_sums_allow(sums: usize, expected_ms: u64) {
-    assert_eq!(FleetMembers::relay_interval(sums), ms(expected_ms));
+    assert_eq!(
+        FleetMembers::relay_heartbeat_interval(sums),
+        ms(expected_ms)
+    );
 }
--- a/crates/core/tests/gateway_relays.rs
+++ b/crates/core/tests/gateway_relays.rs
@@ -5,15 +5,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::Arrival;
 use iristhread_core::LoadShare;
 use iristhread_core::MessageOrder;
 use iristhread_core::PeerLoads;
-use iristhread_core::ToldLoads;
 use iristhread_core::ZoneDigest;
 use test_case::test_case;
 
-use relay_scene::World;
+use relay_scene::SimulatedFleet;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -25,10 +25,13 @@
 #[test_case(300, 5, 2_500; "three hundred")]
 fn a_start_of_all_leads_to_the_right_picture(count: usize, zones: usize, within_ms: u64) {
     for seed in 0..3 {
-        let mut world = World::start(count, zones, seed);
-        let took = world.time_to_agree(ms(within_ms));
-        let wrong = world.wrong().len();
-        assert!(took.is_some(), "seed {seed}: {wrong} of {count} differ");
+        let mut fleet = SimulatedFleet::start(count, zones, seed);
+        let took = fleet.time_to_agree(ms(within_ms));
+        let out_of_date = fleet.out_of_date().len();
+        assert!(
+            took.is_some(),
+            "seed {seed}: {out_of_date} of {count} differ"
+        );
     }
 }
 
@@ -37,14 +40,14 @@
 #[test_case(100, 5; "a hundred")]
 #[test_case(300, 5; "three hundred")]
 fn messages_do_not_grow_with_the_fleet(count: usize, zones: usize) {
-    let mut world = World::start(count, zones, 1);
-    world.run_for(ms(5_000));
-    world.count_anew();
-    world.run_for(ms(10_000));
+    let mut fleet = SimulatedFleet::start(count, zones, 1);
+    fleet.run_for(ms(5_000));
+    fleet.reset_counters();
+    fleet.run_for(ms(10_000));
     let per_second = |counted: u64| counted / 10;
-    let received = world.instances.iter().map(|i| per_second(i.received)).max();
+    let received = fleet.instances.iter().map(|i| per_second(i.received)).max();
     assert!(received <= Some(120), "{received:?} datagrams a second");
-    let mut sent: Vec<u64> = world.instances.iter().map(|i| per_second(i.sent)).collect();
+    let mut sent: Vec<u64> = fleet.instances.iter().map(|i| per_second(i.sent)).collect();
     sent.sort_unstable();
     assert!(
         sent[count / 2] <= 90,
@@ -61,119 +64,123 @@
 /// The zone knows of a placement within a bundle, the others with the next sums.
 #[test]
 fn a_placement_is_known_soon() {
-    let mut world = World::start(300, 5, 2);
-    world.run_for(ms(6_000));
-    assert!(world.wrong().is_empty());
-    world.place(299, 3_000);
-    world.run_for(ms(100));
-    let zone = world.instances[299].zone.clone();
-    let is_near = |own: &usize| world.instances[*own].zone == zone;
-    let wrong = world.wrong();
+    let mut fleet = SimulatedFleet::start(300, 5, 2);
+    fleet.run_for(ms(6_000));
+    assert!(fleet.out_of_date().is_empty());
+    fleet.place(299, 3_000);
+    fleet.run_for(ms(100));
+    let zone = fleet.instances[299].zone.clone();
+    let is_near = |own: &usize| fleet.instances[*own].zone == zone;
+    let out_of_date = fleet.out_of_date();
     assert_eq!(
-        wrong.iter().filter(|own| is_near(own)).count(),
+        out_of_date.iter().filter(|own| is_near(own)).count(),
         0,
         "in its zone"
     );
-    let took = world.time_to_agree(ms(800));
-    assert!(took.is_some(), "{} differ elsewhere", world.wrong().len());
+    let took = fleet.time_to_agree(ms(800));
+    assert!(
+        took.is_some(),
+        "{} differ elsewhere",
+        fleet.out_of_date().len()
+    );
 }
 
 /// What lost datagrams hide is told again.
 #[test]
 fn lost_datagrams_make_the_picture_older_only() {
-    let mut world = World::start(100, 5, 3);
-    world.loses_one_in = 20;
-    world.run_for(ms(6_000));
-    world.place(99, 3_000);
-    let took = world.time_to_agree(ms(4_000));
-    assert!(took.is_some(), "{} differ", world.wrong().len());
+    let mut fleet = SimulatedFleet::start(100, 5, 3);
+    fleet.loses_one_in = 20;
+    fleet.run_for(ms(6_000));
+    fleet.place(99, 3_000);
+    let took = fleet.time_to_agree(ms(4_000));
+    assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 #[test_case(&[0], 2_500; "one relay of a zone")]
 #[test_case(&[0, 5, 10], 5_000; "all strong instances of a zone")]
 #[test_case(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14], 6_000; "all strong instances")]
-fn the_picture_heals_when_relays_are_gone(gone: &[usize], within_ms: u64) {
-    let mut world = World::start(100, 5, 4);
-    world.run_for(ms(5_000));
-    for own in gone {
-        world.instances[*own].is_alive = false;
+fn the_picture_heals_when_relays_are_gone(stopped: &[usize], within_ms: u64) {
+    let mut fleet = SimulatedFleet::start(100, 5, 4);
+    fleet.run_for(ms(5_000));
+    for own in stopped {
+        fleet.instances[*own].is_alive = false;
     }
-    world.place(99, 3_000);
+    fleet.place(99, 3_000);
     // Shares of the dead count for three seconds.
-    let took = world.time_to_agree(ms(3_400 + within_ms));
-    assert!(took.is_some(), "{} differ", world.wrong().len());
+    let took = fleet.time_to_agree(ms(3_400 + within_ms));
+    assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 #[test]
 fn a_zone_that_was_cut_off_is_heard_again() {
-    let mut world = World::start(100, 5, 5);
-    world.run_for(ms(5_000));
-    world.cut_off = Some("z1".to_owned());
-    world.run_for(ms(8_000));
-    let inside = world.instances[1].loads.count();
+    let mut fleet = SimulatedFleet::start(100, 5, 5);
+    fleet.run_for(ms(5_000));
+    fleet.cut_off = Some("z1".to_owned());
+    fleet.run_for(ms(8_000));
+    let inside = fleet.instances[1].loads.count();
     assert_eq!(inside, 19, "the others of the zone");
-    world.cut_off = None;
-    let took = world.time_to_agree(ms(4_000));
-    assert!(took.is_some(), "{} differ", world.wrong().len());
+    fleet.cut_off = None;
+    let took = fleet.time_to_agree(ms(4_000));
+    assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 #[test]
 fn instances_that_stood_still_do_no_lasting_harm() {
-    let mut world = World::start(100, 5, 6);
-    world.run_for(ms(5_000));
-    let wakes = world.now + ms(3_000);
+    let mut fleet = SimulatedFleet::start(100, 5, 6);
+    fleet.run_for(ms(5_000));
+    let wakes = fleet.now + ms(3_000);
     for own in (0..100).step_by(10) {
-        world.instances[own].frozen_until = wakes;
+        fleet.instances[own].frozen_until = wakes;
     }
-    world.run_for(ms(3_000));
-    world.place(99, 3_000);
-    let took = world.time_to_agree(ms(4_500));
-    assert!(took.is_some(), "{} differ", world.wrong().len());
+    fleet.run_for(ms(3_000));
+    fleet.place(99, 3_000);
+    let took = fleet.time_to_agree(ms(4_500));
+    assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 #[test]
 fn a_process_that_starts_again_twice_is_known_by_its_last_life() {
-    let mut world = World::start(100, 5, 7);
-    world.run_for(ms(5_000));
-    world.restart(42);
-    world.run_for(ms(200));
-    world.restart(42);
-    let took = world.time_to_agree(ms(3_000));
-    assert!(took.is_some(), "{} differ", world.wrong().len());
+    let mut fleet = SimulatedFleet::start(100, 5, 7);
+    fleet.run_for(ms(5_000));
+    fleet.restart(42);
+    fleet.run_for(ms(200));
+    fleet.restart(42);
+    let took = fleet.time_to_agree(ms(3_000));
+    assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 #[test]
 fn all_processes_that_start_again_find_each_other() {
-    let mut world = World::start(100, 5, 8);
-    world.run_for(ms(5_000));
+    let mut fleet = SimulatedFleet::start(100, 5, 8);
+    fleet.run_for(ms(5_000));
     for own in 0..100 {
-        world.restart(own);
+        fleet.restart(own);
     }
-    let took = world.time_to_agree(ms(2_500));
-    assert!(took.is_some(), "{} differ", world.wrong().len());
+    let took = fleet.time_to_agree(ms(2_500));
+    assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 /// Two zones of a large fleet read for all, one instance in each; when they are
-/// gone, others do.
+/// stopped, others do.
 #[test]
 fn a_few_read_for_a_large_fleet() {
-    let mut world = World::start(100, 5, 9);
-    world.run_for(ms(5_000));
+    let mut fleet = SimulatedFleet::start(100, 5, 9);
+    fleet.run_for(ms(5_000));
     for _ in 0..3 {
-        let readers = readers(&world);
+        let readers = readers(&fleet);
         assert_eq!(readers.len(), 2, "{readers:?}");
         assert_ne!(readers[0] % 5, readers[1] % 5, "in two zones");
         for own in readers {
-            world.instances[own].is_alive = false;
+            fleet.instances[own].is_alive = false;
         }
-        world.run_for(ms(7_000));
+        fleet.run_for(ms(7_000));
     }
 }
 
 /// Living instances that read while what they know is fresh.
-fn readers(world: &World) -> Vec<usize> {
-    let instances = world.instances.iter().enumerate();
-    let now = world.now;
+fn readers(fleet: &SimulatedFleet) -> Vec<usize> {
+    let instances = fleet.instances.iter().enumerate();
+    let now = fleet.now;
     let reads = instances.filter(|(_, i)| i.is_alive && i.members.reads(now, Some(now), true));
     reads.map(|(own, _)| own).collect()
 }
@@ -183,12 +190,15 @@
     let mut order = MessageOrder::new("one".to_owned(), 7);
     assert_eq!(order.arrive(&"one".to_owned(), 7), Arrival::Old);
     assert_eq!(order.arrive(&"one".to_owned(), 8), Arrival::Newer);
-    assert_eq!(order.arrive(&"two".to_owned(), 1), Arrival::FirstOfLife);
+    assert_eq!(
+        order.arrive(&"two".to_owned(), 1),
+        Arrival::FirstOfIncarnation
+    );
     assert_eq!(order.arrive(&"one".to_owned(), 9), Arrival::Old);
     assert_eq!(order.arrive(&"two".to_owned(), 2), Arrival::Newer);
 }
 
-fn told(instance: &str, zone: &str, tokens: u64, digest: Option<u64>) -> ToldLoads {
+fn told(instance: &str, zone: &str, tokens: u64, digest: Option<u64>) -> AdvertisedLoads {
     let shares = |session_tokens| {
         let load = LoadShare {
             session_tokens,
@@ -196,7 +206,7 @@
         };
         BTreeMap::from([("e1".to_owned(), load)])
     };
-    ToldLoads {
+    AdvertisedLoads {
         instance: instance.to_owned(),
         incarnation: "life".to_owned(),
         sequence: 1,
--- a/crates/core/tests/gateway_scene/mod.rs
+++ b/crates/core/tests/gateway_scene/mod.rs
@@ -7,6 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::CallerLimits;
 use iristhread_core::Content;
 use iristhread_core::EngineTraits;
@@ -23,7 +24,6 @@
 use iristhread_core::RequestClass;
 use iristhread_core::Route;
 use iristhread_core::RouteTarget;
-use iristhread_core::ToldLoads;
 
 /// Tokens that fit into one engine of the scene.
 pub const MEMORY_TOKENS: u64 = 10_000;
@@ -185,8 +185,8 @@
 }
 
 /// What an instance of zone z1 tells.
-pub fn told(instance: &str, sequence: u64, shares: LoadShares) -> ToldLoads {
-    ToldLoads {
+pub fn told(instance: &str, sequence: u64, shares: LoadShares) -> AdvertisedLoads {
+    AdvertisedLoads {
         instance: instance.to_owned(),
         incarnation: "life".to_owned(),
         sequence,
--- a/crates/core/tests/limit_scene/mod.rs
+++ b/crates/core/tests/limit_scene/mod.rs
@@ -5,6 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::GatewayControl;
 use iristhread_core::GatewayTerms;
 use iristhread_core::HeardNotice;
@@ -13,7 +14,6 @@
 use iristhread_core::Replica;
 use iristhread_core::RunEnd;
 use iristhread_core::ServerNotice;
-use iristhread_core::ToldLoads;
 
 use crate::gateway_scene::ask;
 use crate::gateway_scene::config;
@@ -105,7 +105,7 @@
             let control = &mut self.instances[from];
             control.tick(now);
             let limits = control.told_limits(now, false);
-            let loads = ToldLoads {
+            let loads = AdvertisedLoads {
                 instance: format!("i{from}"),
                 incarnation: "life".to_owned(),
                 sequence: self.now_ms,
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -194,13 +194,13 @@
         source: source.to_owned(),
     };
     let mut informed = BTreeSet::from([0]);
-    let mut front = vec![0];
+    let mut frontier = vec![0];
     let mut messages = 0;
     let mut rounds = 0;
-    while !front.is_empty() {
+    while !frontier.is_empty() {
         rounds += 1;
         let mut next = Vec::new();
-        for number in front {
+        for number in frontier {
             for command in controls[number].handle(now, 0, offered("peer")) {
                 if let Command::ExchangeWith { instance, .. } = command {
                     messages += 1;
@@ -211,7 +211,7 @@
                 }
             }
         }
-        front = next;
+        frontier = next;
     }
     println!(
         "{size} instances: {} informed in {rounds} rounds by {messages} messages",
@@ -243,7 +243,7 @@
 fn a_peer_message(tampering: Tampering, expected: Result<(), PeerRejection>) {
     let keyring = Keyring::from_hex(&["01".repeat(32)]).unwrap();
     let other = Keyring::from_hex(&["02".repeat(32)]).unwrap();
-    let (sender, life) = ("a1".to_owned(), "life".to_owned());
+    let (sender, incarnation) = ("a1".to_owned(), "life".to_owned());
     let receiver = match tampering {
         Tampering::Receiver => "a3".to_owned(),
         _ => "a2".to_owned(),
@@ -252,7 +252,7 @@
         Tampering::OtherKey => &other,
         _ => &keyring,
     };
-    let tag = PeerGuard::sign(signing, (&sender, &life), &receiver, 7, "body");
+    let tag = PeerGuard::sign(signing, (&sender, &incarnation), &receiver, 7, "body");
     let sender = match tampering {
         Tampering::Sender => "a9".to_owned(),
         _ => sender,
@@ -264,10 +264,10 @@
     let mut guard = PeerGuard::new("a2".to_owned());
     if matches!(tampering, Tampering::Replay) {
         guard
-            .accept(&keyring, (&sender, &life), &receiver, 7, body, &tag)
+            .accept(&keyring, (&sender, &incarnation), &receiver, 7, body, &tag)
             .unwrap();
     }
-    let verdict = guard.accept(&keyring, (&sender, &life), &receiver, 7, body, &tag);
+    let verdict = guard.accept(&keyring, (&sender, &incarnation), &receiver, 7, body, &tag);
     assert_eq!(verdict, expected);
 }
 
--- a/crates/core/tests/relay_scene/mod.rs
+++ b/crates/core/tests/relay_scene/mod.rs
@@ -6,6 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::Arrival;
 use iristhread_core::FleetMembers;
 use iristhread_core::LoadShare;
@@ -13,12 +14,11 @@
 use iristhread_core::MemberState;
 use iristhread_core::Now;
 use iristhread_core::PeerLoads;
-use iristhread_core::ToldLoads;
 use rand_core::Rng;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// One step of the world.
+/// One step of the fleet.
 const STEP: Duration = Duration::from_millis(10);
 
 /// Instances of a zone that are stronger than the others.
@@ -26,10 +26,10 @@
 
 /// A heartbeat on its way.
 #[derive(Clone)]
-struct Beat {
+struct Heartbeat {
     address: SocketAddr,
     state: MemberState,
-    told: ToldLoads,
+    loads: AdvertisedLoads,
     addresses: Vec<SocketAddr>,
 }
 
@@ -37,7 +37,7 @@
     from: usize,
     to: usize,
     pass_on: bool,
-    beats: Vec<Beat>,
+    heartbeats: Vec<Heartbeat>,
 }
 
 /// One instance of the fleet.
@@ -56,14 +56,14 @@
     pub frozen_until: Now,
     life: u32,
     sequence: u64,
-    beats_at: Now,
-    bundle: Vec<Beat>,
+    next_heartbeat_at: Now,
+    bundle: Vec<Heartbeat>,
     bundled_at: Now,
-    held: Vec<Datagram>,
+    delayed: Vec<Datagram>,
 }
 
 /// The fleet.
-pub struct World {
+pub struct SimulatedFleet {
     pub now: Now,
     pub instances: Vec<Instance>,
     /// Zones between which nothing passes.
@@ -82,7 +82,7 @@
 
 fn number(address: &SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("the world has IPv4 only");
+        panic!("the fleet has IPv4 only");
     };
     let [_, _, high, low] = address.ip().octets();
     usize::from(high) << 8 | usize::from(low)
@@ -109,9 +109,9 @@
     format!("z{}", own % zones)
 }
 
-impl World {
+impl SimulatedFleet {
     /// A fleet that starts at once, spread over zones, and knows three seeds.
-    pub fn start(count: usize, zones: usize, seed: u64) -> World {
+    pub fn start(count: usize, zones: usize, seed: u64) -> SimulatedFleet {
         let mut random = Pcg32::seed_from_u64(seed);
         let instances = (0..count).map(|own| Instance {
             zone: zone_of(own, zones),
@@ -124,12 +124,12 @@
             frozen_until: Now::ZERO,
             life: 1,
             sequence: 0,
-            beats_at: Duration::from_millis(u64::from(random.next_u32() % 300)),
+            next_heartbeat_at: Duration::from_millis(u64::from(random.next_u32() % 300)),
             bundle: Vec::new(),
             bundled_at: Now::ZERO,
-            held: Vec::new(),
+            delayed: Vec::new(),
         });
-        World {
+        SimulatedFleet {
             now: Now::ZERO,
             instances: instances.collect(),
             cut_off: None,
@@ -149,16 +149,16 @@
         instance.loads = PeerLoads::new(instance.zone.clone());
         instance.life += 1;
         instance.sequence = 0;
-        instance.beats_at = now;
+        instance.next_heartbeat_at = now;
         instance.bundle.clear();
-        instance.held.clear();
+        instance.delayed.clear();
         instance.is_alive = true;
     }
 
     /// Puts tokens on the engine and tells of it at once.
     pub fn place(&mut self, own: usize, tokens: u64) {
         self.instances[own].tokens += tokens;
-        self.instances[own].beats_at = self.now + STEP;
+        self.instances[own].next_heartbeat_at = self.now + STEP;
     }
 
     /// Lets time pass.
@@ -179,11 +179,11 @@
             if !instance.is_alive || self.now < instance.frozen_until {
                 continue;
             }
-            for datagram in std::mem::take(&mut self.instances[own].held) {
+            for datagram in std::mem::take(&mut self.instances[own].delayed) {
                 self.receive(datagram);
             }
-            if self.instances[own].beats_at <= self.now {
-                self.beat(own);
+            if self.instances[own].next_heartbeat_at <= self.now {
+                self.heartbeat(own);
             }
             if !self.instances[own].bundle.is_empty() && self.instances[own].bundled_at <= self.now
             {
@@ -193,7 +193,7 @@
         }
     }
 
-    fn beat(&mut self, own: usize) {
+    fn heartbeat(&mut self, own: usize) {
         let now = self.now;
         let zones = self.zones;
         let instance = &mut self.instances[own];
@@ -206,14 +206,14 @@
         };
         let shares: LoadShares = BTreeMap::from([("e1".to_owned(), load)]);
         let incarnation = format!("life {}", instance.life);
-        let mut beat = Beat {
+        let mut heartbeat = Heartbeat {
             address: address(own),
-            addresses: instance.members.told_addresses(now, &mut self.random),
+            addresses: instance.members.advertised_addresses(now, &mut self.random),
             state: MemberState {
                 instance: format!("i{own}"),
                 incarnation: incarnation.clone(),
                 sequence: instance.sequence,
-                said_at: now,
+                sent_at: now,
                 zone: instance.zone.clone(),
                 core_millis: core_millis(own, zones),
                 has_relays: instance.members.has_relays(),
@@ -223,7 +223,7 @@
                 list_confirmed_at: Some(now),
                 can_read: true,
             },
-            told: ToldLoads {
+            loads: AdvertisedLoads {
                 instance: format!("i{own}"),
                 incarnation,
                 sequence: instance.sequence,
@@ -233,48 +233,48 @@
             },
         };
         let digest = instance.loads.digest(&shares);
-        instance.beats_at = now + instance.members.beat_interval(now);
-        let near = beat.clone();
-        beat.told.digest = Some(digest);
-        beat.told.sequence += 1;
-        beat.state.sequence += 1;
-        for to in &fan_out.far {
-            self.send(own, number(to), true, vec![beat.clone()]);
+        instance.next_heartbeat_at = now + instance.members.heartbeat_interval(now);
+        let zone_heartbeat = heartbeat.clone();
+        heartbeat.loads.digest = Some(digest);
+        heartbeat.loads.sequence += 1;
+        heartbeat.state.sequence += 1;
+        for to in &fan_out.remote_relays {
+            self.send(own, number(to), true, vec![heartbeat.clone()]);
         }
         if let Some(to) = &fan_out.relay {
-            self.send(own, number(to), true, vec![near.clone()]);
+            self.send(own, number(to), true, vec![zone_heartbeat.clone()]);
         }
         for to in &fan_out.direct {
-            self.send(own, number(to), false, vec![near.clone()]);
+            self.send(own, number(to), false, vec![zone_heartbeat.clone()]);
         }
-        if fan_out.passes_on {
-            self.pass_on(own, near);
+        if fan_out.forwards_to_zone {
+            self.pass_on(own, zone_heartbeat);
         }
     }
 
-    fn pass_on(&mut self, own: usize, beat: Beat) {
+    fn pass_on(&mut self, own: usize, heartbeat: Heartbeat) {
         let now = self.now;
         let instance = &mut self.instances[own];
         if instance.bundle.is_empty() {
             instance.bundled_at = now + instance.members.bundle_interval(now);
         }
-        instance.bundle.push(beat);
+        instance.bundle.push(heartbeat);
     }
 
     fn send_bundle(&mut self, own: usize) {
-        let beats = std::mem::take(&mut self.instances[own].bundle);
+        let heartbeats = std::mem::take(&mut self.instances[own].bundle);
         for to in self.instances[own].members.neighbours(self.now) {
-            self.send(own, number(&to), false, beats.clone());
+            self.send(own, number(&to), false, heartbeats.clone());
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, pass_on: bool, beats: Vec<Beat>) {
+    fn send(&mut self, from: usize, to: usize, pass_on: bool, heartbeats: Vec<Heartbeat>) {
         self.instances[from].sent += 1;
         self.datagrams.push(Datagram {
             from,
             to,
             pass_on,
-            beats,
+            heartbeats,
         });
     }
 
@@ -288,7 +288,7 @@
             return;
         }
         if self.now < to.frozen_until {
-            self.instances[datagram.to].held.push(datagram);
+            self.instances[datagram.to].delayed.push(datagram);
         } else {
             self.receive(datagram);
         }
@@ -298,35 +298,35 @@
         let now = self.now;
         let (from, to) = (datagram.from, datagram.to);
         self.instances[to].received += 1;
-        for beat in datagram.beats {
+        for heartbeat in datagram.heartbeats {
             let instance = &mut self.instances[to];
-            if beat.address == address(to) {
+            if heartbeat.address == address(to) {
                 continue;
             }
             let members = &mut instance.members;
-            let arrival = members.hear(now, beat.address, beat.state.clone());
+            let arrival = members.hear(now, heartbeat.address, heartbeat.state.clone());
             if arrival == Arrival::Old {
                 continue;
             }
-            for address in &beat.addresses {
-                members.hear_of(now, *address);
+            for address in &heartbeat.addresses {
+                members.learn_address(now, *address);
             }
-            if arrival == Arrival::FirstOfLife && beat.address == address(from) {
-                members.greet(beat.address);
-                instance.beats_at = instance.beats_at.min(now + STEP);
+            if arrival == Arrival::FirstOfIncarnation && heartbeat.address == address(from) {
+                members.queue_immediate_heartbeat(heartbeat.address);
+                instance.next_heartbeat_at = instance.next_heartbeat_at.min(now + STEP);
             }
-            if members.follows(&beat.state.zone) || beat.told.digest.is_some() {
-                instance.loads.hear(now, beat.told.clone());
+            if members.follows(&heartbeat.state.zone) || heartbeat.loads.digest.is_some() {
+                instance.loads.hear(now, heartbeat.loads.clone());
             }
             if datagram.pass_on {
-                self.pass_on(to, beat);
+                self.pass_on(to, heartbeat);
             }
         }
     }
 
     /// Instances whose picture of the engine's load differs from what the others
     /// that live have put there.
-    pub fn wrong(&self) -> Vec<usize> {
+    pub fn out_of_date(&self) -> Vec<usize> {
         let live = || {
             self.instances
                 .iter()
@@ -345,7 +345,7 @@
         let began = self.now;
         while self.now < began + within {
             self.step();
-            if self.wrong().is_empty() {
+            if self.out_of_date().is_empty() {
                 return Some(self.now - began);
             }
         }
@@ -353,7 +353,7 @@
     }
 
     /// Forgets the datagrams counted so far.
-    pub fn count_anew(&mut self) {
+    pub fn reset_counters(&mut self) {
         for instance in &mut self.instances {
             instance.received = 0;
             instance.sent = 0;
--- a/crates/core/tests/server_limits.rs
+++ b/crates/core/tests/server_limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use iristhread_core::LifeId;
+use iristhread_core::IncarnationId;
 use iristhread_core::LimitChange;
 use iristhread_core::NamedLimit;
 use iristhread_core::Now;
@@ -14,7 +14,7 @@
 use iristhread_core::ToldLimit;
 use test_case::test_case;
 
-const LIFE: LifeId = 7;
+const LIFE: IncarnationId = 7;
 
 const fn ms(ms: u64) -> Now {
     Duration::from_millis(ms)
--- a/crates/core/tests/suspicions.rs
+++ b/crates/core/tests/suspicions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use iristhread_core::Fingerprint;
-use iristhread_core::LifeId;
+use iristhread_core::IncarnationId;
 use iristhread_core::Now;
 use iristhread_core::ServerEnd;
 use iristhread_core::Suspicions;
@@ -31,12 +31,12 @@
     content(1, 1)
 }
 
-fn ended(book: &mut Suspicions, content: Fingerprint, life: LifeId, at: Now) {
+fn ended(book: &mut Suspicions, content: Fingerprint, life: IncarnationId, at: Now) {
     book.server_ended(at, content, None, ServerEnd { life, at });
 }
 
 /// A server ends every 300 ms under a content.
-fn ends(book: &mut Suspicions, content: Fingerprint, lives: std::ops::Range<LifeId>) {
+fn ends(book: &mut Suspicions, content: Fingerprint, lives: std::ops::Range<IncarnationId>) {
     for life in lives {
         ended(book, content, life, START + ms(300 * life));
     }
@@ -58,7 +58,7 @@
 #[test_case(2, true; "a session may be in two with its copy")]
 #[test_case(3, false)]
 #[test_case(30, false)]
-fn so_many_ends_are_put_up_with(count: LifeId, is_sent: bool) {
+fn so_many_ends_are_put_up_with(count: IncarnationId, is_sent: bool) {
     let mut book = Suspicions::default();
     ends(&mut book, at_fault(), 0..count);
     assert_eq!(is_free(&book, at_fault()), is_sent);
@@ -204,7 +204,7 @@
     let mut until = Vec::new();
     for life in 0..20 {
         // The first three at one moment, which may have had another cause.
-        let at = START + ms(1_000 * LifeId::saturating_sub(life, 2));
+        let at = START + ms(1_000 * IncarnationId::saturating_sub(life, 2));
         ended(&mut book, at_fault(), life, at);
         if let Verdict::Quarantined { until: end, .. } = book.verdict(at_fault()) {
             until.push((end - at).as_secs());
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -3,6 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::BackendId;
 use iristhread_core::CarryTarget;
 use iristhread_core::ConfigVersion;
@@ -25,7 +26,6 @@
 use iristhread_core::ToldEvacuations;
 use iristhread_core::ToldLimit;
 use iristhread_core::ToldList;
-use iristhread_core::ToldLoads;
 use iristhread_core::ToldSuspect;
 use iristhread_core::ZoneDigest;
 use tokio::sync::mpsc;
@@ -332,7 +332,7 @@
     /// A peer told of the load of the replicas.
     PeerHeard {
         /// What it told.
-        told: ToldLoads,
+        told: AdvertisedLoads,
     },
     /// What to tell the peers.
     OwnState {
--- a/crates/daemon/src/peers/fleet_link/duty.rs
+++ b/crates/daemon/src/peers/fleet_link/duty.rs
@@ -70,7 +70,7 @@
         let members = self.members();
         let heard = members.list_confirmed_at(now, list_revision);
         let confirmed_at = self.knowledge().list_confirmed_at().max(heard);
-        members.is_lost(now, confirmed_at)
+        members.is_stale(now, confirmed_at)
     }
 
     /// Whether this instance should watch the platform's configuration: as for
