--- a/crates/core/src/membership/fleet_members.rs
+++ b/crates/core/src/membership/fleet_members.rs
@@ -1,4 +1,4 @@
-//! The other instances, as their heartbeats tell.
+//! The other instances of the fleet, as known from their heartbeats.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,60 +23,59 @@
 
 use fan_out::RELAY_HEARTBEAT_INTERVAL;
 
-/// Shortest time between two heartbeats: news and loads are at most this old
-/// in a small fleet.
+/// Minimum time between two heartbeats: updates and loads are at most this old in a small fleet.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two heartbeats per instance that hears them, so that what an
-/// instance receives grows no further.
+/// Time between two heartbeats for each instance that receives them, so that the message rate at an
+/// instance stays bounded as the fleet grows.
 const HEARTBEAT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(12);
 
-/// Longest time between two heartbeats: what an instance tells counts for 3 s,
-/// and two in a row may be lost.
+/// Maximum time between two heartbeats: advertised loads stay valid for 3 s, and two heartbeats in
+/// a row may be lost.
 const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Silence after which an instance counts as gone, in heartbeats.
+/// Silence after which an instance counts as stopped, in heartbeat intervals.
 const SILENT_HEARTBEATS: u32 = 6;
 
-/// Shortest silence after which an instance counts as gone.
+/// Minimum silence after which an instance counts as stopped.
 const MIN_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// How long an instance that fell silent is still sent heartbeats, less often:
-/// longer than most cuts last.
+/// How long heartbeats are still sent, less often, to an instance that fell silent: longer than
+/// most network partitions last.
 const SILENT_RETENTION: Duration = Duration::from_secs(120);
 
-/// Added to the age of what a peer says was confirmed: the way of a heartbeat and
-/// the wait at both ends and at a relay. Without it, each instance that passes the age on
-/// would make it younger, and few would see an outage.
+/// Added to the age of a confirmation that a peer reports: the transit time of a heartbeat plus the
+/// waits at both ends and at a relay. Without it, the age would shrink with each instance that
+/// passes it on, and few would notice an outage.
 const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
-/// What an instance says of itself with each heartbeat.
+/// State that an instance reports of itself with each heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberState {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its process life.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Number of the message within that life.
+    /// Sequence number of the message within that incarnation.
     pub sequence: u64,
-    /// Time on its own clock at which it said this.
+    /// Send time on its own clock.
     pub sent_at: Now,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Thousandths of a processor core that it has.
+    /// Processor capacity in thousandths of a core.
     pub core_millis: u32,
-    /// Whether it tells the others by way of relays.
+    /// Whether it advertises to the others through relays.
     pub has_relays: bool,
     /// Version of the configuration in force there, 0 for none.
     pub config_version: ConfigVersion,
-    /// When the platform confirmed that configuration, on the receiver's clock, if this came
-    /// by the usual way.
+    /// When the platform confirmed that configuration, on the receiver's clock, assuming the normal
+    /// transit time.
     pub config_confirmed_at: Option<Now>,
     /// Revision of its list of backend servers.
     pub list_revision: Revision,
-    /// The same for that list.
+    /// When the platform confirmed that list, on the same terms.
     pub list_confirmed_at: Option<Now>,
-    /// Whether it could read the platform when it tried last.
+    /// Whether its last read from the platform succeeded.
     pub can_read: bool,
 }
 
@@ -85,7 +84,7 @@
     state: MemberState,
     order: MessageOrder,
     delay: DelayEstimate,
-    /// How much longer than usual the last one delay_excess.
+    /// Time that the last heartbeat took beyond the normal transit time.
     delay_excess: Duration,
 }
 
@@ -101,7 +100,7 @@
     }
 }
 
-/// The members of the fleet as one instance knows them.
+/// Members of the fleet as one instance knows them.
 #[derive(Debug)]
 pub struct FleetMembers {
     instance: InstanceId,
@@ -116,7 +115,7 @@
 }
 
 impl FleetMembers {
-    /// Knows the seeds only.
+    /// Creates a view that holds only the seed peers.
     pub fn new(
         instance: InstanceId,
         zone: ZoneId,
@@ -138,8 +137,8 @@
         }
     }
 
-    /// Notes a heartbeat, and says what it is to those before. One that is old
-    /// changes nothing; one that lay waiting speaks of the time at which it was said.
+    /// Applies a heartbeat and returns its position relative to earlier ones. An old heartbeat is
+    /// ignored. The times of a delayed heartbeat are moved back by its delay.
     pub fn hear(&mut self, now: Now, address: SocketAddr, mut state: MemberState) -> Arrival {
         self.has_relays |= state.has_relays;
         let member = self.members.entry(address).or_insert(Member {
@@ -176,14 +175,15 @@
         arrival
     }
 
-    /// How much longer than usual the last heartbeat of an instance delay_excess.
+    /// Returns the time that the last heartbeat of an instance took beyond the normal transit time.
     pub fn heartbeat_delay(&self, address: SocketAddr) -> Duration {
         let member = self.members.get(&address);
         let last = member.and_then(|member| member.last_heartbeat.as_ref());
         last.map_or(Duration::ZERO, |last| last.delay_excess)
     }
 
-    /// Notes that somebody knows an instance at an address.
+    /// Records the address of an instance that a peer advertises; no heartbeat from there is known
+    /// yet.
     pub fn learn_address(&mut self, now: Now, address: SocketAddr) {
         if address != self.own_address {
             let unconfirmed = Member {
@@ -194,13 +194,13 @@
         }
     }
 
-    /// Notes that an instance which came to this one by itself knows few others:
-    /// the next heartbeat goes there, too.
+    /// Adds an instance to the targets of the next heartbeat. Used for an instance that made
+    /// contact by itself, as it knows few others.
     pub fn queue_immediate_heartbeat(&mut self, address: SocketAddr) {
         self.immediate_targets.insert(address);
     }
 
-    /// Time until the next heartbeat.
+    /// Returns the time until the next heartbeat.
     pub fn heartbeat_interval(&self, now: Now) -> Duration {
         match self.is_relay_candidate(now) {
             true => RELAY_HEARTBEAT_INTERVAL,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Time between the heartbeats of most instances.
+    /// Returns the time between heartbeats of an instance that is no relay candidate.
     fn base_heartbeat_interval(&self, now: Now) -> Duration {
         let receivers = match self.has_relays {
             true => self.neighbours(now).len(),
@@ -219,12 +219,12 @@
             .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
     }
 
-    /// When something was confirmed of which a heartbeat tells the age.
+    /// Returns the time of a confirmation whose age a heartbeat reports.
     pub fn confirmed_at(now: Now, age: Duration) -> Now {
         now.saturating_sub(age + HEARTBEAT_TRANSIT)
     }
 
-    /// Live instances that have a newer configuration or list.
+    /// Returns the live instances with a newer configuration or list.
     pub fn ahead(
         &self,
         now: Now,
@@ -239,8 +239,9 @@
         states.filter(|(_, state)| is_ahead(state)).collect()
     }
 
-    /// Who to ask for a newer configuration or list: in a small fleet any that has
-    /// it, in a larger one the strongest of this zone, or of all if none has it here.
+    /// Returns the instances from which to fetch a newer configuration or list. In a small fleet
+    /// any instance that has it; in a larger one those with the most processor capacity in this
+    /// zone, or in all zones if none in this zone has it.
     pub fn sources(
         &self,
         now: Now,
@@ -259,23 +260,23 @@
         ahead
     }
 
-    /// When the platform confirmed this revision of the list or a later one, to
-    /// anyone's knowledge.
+    /// Returns the latest time, known to any live instance, at which the platform confirmed this
+    /// revision of the list or an earlier one.
     pub fn list_confirmed_at(&self, now: Now, list_revision: Revision) -> Option<Now> {
         let states = self.live_states(now);
         let same = states.filter(|state| state.list_revision <= list_revision);
         same.filter_map(|state| state.list_confirmed_at).max()
     }
 
-    /// When the platform confirmed this version of the configuration or a later
-    /// one, to anyone's knowledge.
+    /// Returns the latest time, known to any live instance, at which the platform confirmed this
+    /// version of the configuration or an earlier one.
     pub fn config_confirmed_at(&self, now: Now, version: ConfigVersion) -> Option<Now> {
         let states = self.live_states(now);
         let same = states.filter(|state| state.config_version <= version);
         same.filter_map(|state| state.config_confirmed_at).max()
     }
 
-    /// The newest that any live instance has of each.
+    /// Returns the newest configuration version and the newest list revision of all live instances.
     pub fn newest(&self, now: Now) -> KnownVersions {
         let states = || self.live_states(now);
         KnownVersions {
@@ -290,7 +291,7 @@
         }
     }
 
-    /// Whether a live instance has a newer configuration.
+    /// Returns whether a live instance has a newer configuration.
     pub fn is_ahead_in_config(&self, now: Now, version: ConfigVersion) -> bool {
         self.live_states(now)
             .any(|state| state.config_version > version)
@@ -307,7 +308,7 @@
         live.map(|(address, member)| (*address, member))
     }
 
-    /// Silence after which an instance counts as gone.
+    /// Returns the silence after which an instance counts as stopped.
     fn longest_silence(&self, now: Now) -> Duration {
         MIN_SILENCE.max(self.base_heartbeat_interval(now) * SILENT_HEARTBEATS)
     }
--- a/crates/core/src/membership/fleet_members/fan_out.rs
+++ b/crates/core/src/membership/fleet_members/fan_out.rs
@@ -1,7 +1,8 @@
-//! Who is sent a heartbeat. In a small fleet everybody. In a larger one a relay of
-//! the sender's availability zone, which passes it on to the zone; and relays tell
-//! those of the other zones. Each instance chooses relays by what it hears itself:
-//! when two choose differently, both relays pass on what they are given.
+//! Selects the targets of a heartbeat. In a small fleet each heartbeat goes to all members. In a
+//! larger fleet it goes to a relay of the sender's availability zone, which forwards it within the
+//! zone; relays also send to relays of the other zones. Each instance selects relays from the
+//! heartbeats that it has received itself. If two instances select different relays, both relays
+//! forward the heartbeats they are given.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,89 +16,87 @@
 use crate::ZoneId;
 use crate::membership::rendezvous::weight;
 
-/// Instances up to which heartbeats go to everybody: below it, passing on saves
-/// few messages and costs a wait.
+/// Number of members below which heartbeats go to all members directly: in a fleet this small,
+/// relaying saves few messages and adds a delay.
 const MAX_DIRECT_MEMBERS: usize = 32;
 
-/// Relays of an availability zone. Heartbeats go to them by turns, so that the
-/// loss of one makes what is known older by a heartbeat, not wrong.
+/// Relays per availability zone. Heartbeats rotate among them, so that the loss of one relay delays
+/// the state by one heartbeat but does not make it wrong.
 const RELAYS_PER_ZONE: usize = 2;
 
-/// The first by rank of a zone, who beat as often as relays do: they take over
+/// Instances per zone, first by rank, that send heartbeats as often as relays do, as they take over
 /// when relays fall silent.
 const CANDIDATES: usize = 4;
 
-/// Time between two heartbeats of relays: the sums of a zone are this old
-/// elsewhere.
+/// Maximum time between two heartbeats of a relay: the maximum age of a zone's sums in other zones.
 pub(super) const RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Shortest time between two heartbeats of a relay.
+/// Minimum time between two heartbeats of a relay.
 const MIN_RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two heartbeats of a relay for each backend server that its sums name, so
-/// that the bytes between zones stay the same from 100 to 300 of them, and other zones hear
-/// of choices sooner where there are fewer.
+/// Time between two heartbeats of a relay for each backend server in its sums. The bytes between
+/// zones thus stay constant from 100 to 300 servers, and other zones learn of placements sooner
+/// when there are fewer.
 const RELAY_HEARTBEAT_INTERVAL_PER_SUM: Duration = Duration::from_millis(1);
 
-/// Silence after which an instance is no relay of this zone any more: four
-/// heartbeats of a relay.
+/// Silence after which an instance is no longer a relay of this zone: four heartbeats of a relay.
 const RELAY_SILENCE: Duration = Duration::from_millis(1_200);
 
-/// The same for relays of other zones, which beat to each zone by turns.
+/// Silence after which an instance is no longer a relay of another zone. It is longer because
+/// relays send to the relays of each other zone in rotation.
 const REMOTE_RELAY_SILENCE: Duration = Duration::from_millis(2_500);
 
-/// Addresses that nobody was known at yet and that one heartbeat is sent to: the
-/// relays of three zones, as another instance tells them.
+/// Maximum number of unconfirmed addresses, from which no heartbeat has been received yet, that one
+/// heartbeat is sent to: the relays of three zones, as another instance advertises them.
 const UNCONFIRMED_PER_HEARTBEAT: usize = 6;
 
-/// How long an address where nobody is known is tried: the answer to a first
-/// heartbeat takes milliseconds, and whoever knows this instance already gives none.
+/// How long an unconfirmed address is tried: the answer to a first heartbeat takes milliseconds,
+/// and an instance that knows this one already sends none.
 const UNCONFIRMED_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Other instances that one heartbeat is sent to by chance, so that zones find
-/// each other again whatever was lost.
+/// Randomly selected instances of other zones that one heartbeat is sent to, so that zones find
+/// each other again after any loss of messages.
 const RANDOM_CONTACTS_PER_HEARTBEAT: usize = 1;
 
-/// One in this many heartbeats of a small fleet also goes to instances that fell
-/// silent.
+/// One in this many heartbeats of a small fleet also goes to silent instances.
 const SILENT_TARGETS_EVERY: u64 = 5;
 
-/// Addresses of others that one heartbeat of a small fleet tells.
+/// Number of addresses that one heartbeat of a small fleet advertises.
 const ADVERTISED_ADDRESSES: usize = 8;
 
-/// Time between two bundles of a relay per instance that gets them, so that what it sends is
-/// bounded.
+/// Time between two bundles of a relay for each instance that receives them, so that the send rate
+/// of the relay is bounded.
 const BUNDLE_INTERVAL_PER_NEIGHBOUR: Duration = Duration::from_micros(300);
 
-/// Who is sent one heartbeat.
+/// Targets of one heartbeat.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FanOut {
-    /// Instances that it is only for.
+    /// Instances that receive the heartbeat and do not forward it.
     pub direct: Vec<SocketAddr>,
-    /// The relay that passes it on within the zone.
+    /// Relay that forwards it within the zone.
     pub relay: Option<SocketAddr>,
-    /// Whether this instance is a relay and passes it on itself.
+    /// Whether this instance is a relay and forwards it within the zone itself.
     pub forwards_to_zone: bool,
-    /// Relays of other zones, which pass it on there; they get the sums of this
-    /// zone with it.
+    /// Relays of other zones, which forward it in their zones; the sums of this zone are sent with
+    /// it.
     pub remote_relays: Vec<SocketAddr>,
 }
 
 impl FleetMembers {
-    /// Time until the next heartbeat of a relay whose sums name so many backend servers.
+    /// Returns the time until the next heartbeat of a relay whose sums name `sums` backend servers.
     pub fn relay_heartbeat_interval(sums: usize) -> Duration {
         let sums = u32::try_from(sums).unwrap_or(u32::MAX);
         let interval = RELAY_HEARTBEAT_INTERVAL_PER_SUM.saturating_mul(sums);
         interval.clamp(MIN_RELAY_HEARTBEAT_INTERVAL, RELAY_HEARTBEAT_INTERVAL)
     }
 
-    /// Whether the fleet is large enough for relays: once one instance knows that
-    /// it is, all that hear of it agree.
+    /// Returns whether the fleet is large enough for relays. Once one instance finds that it is,
+    /// all instances that receive its state agree.
     pub fn has_relays(&self) -> bool {
         self.has_relays
     }
 
-    /// Who the next heartbeat is sent to.
+    /// Returns the targets of the next heartbeat.
     pub fn fan_out(&mut self, now: Now, random: &mut impl Rng) -> FanOut {
         self.heartbeat_count += 1;
         self.members.retain(|_, member| {
@@ -142,7 +141,7 @@
         let next_relay = relays.get(rotation % relays.len().max(1)).copied();
         let mut direct = self.contacts(random);
         if relays == [self.own_address] {
-            // Nobody of this zone is there, or nobody hears.
+            // This zone has no other live instance, or this one receives nothing.
             direct.extend(self.seeds.iter().copied());
         }
         FanOut {
@@ -156,7 +155,7 @@
         }
     }
 
-    /// One relay of each other zone, by turns.
+    /// Returns one relay of each other zone, in rotation.
     fn remote_relays(&self, now: Now, rotation: usize) -> Vec<SocketAddr> {
         let zones = self.other_zones().into_iter();
         let relay_of = |zone: ZoneId| {
@@ -170,8 +169,8 @@
         zones.filter_map(relay_of).collect()
     }
 
-    /// Addresses where nobody was known yet, and a few known ones by chance of those
-    /// that are not known by way of relays.
+    /// Returns unconfirmed addresses, and a few random known ones of the instances in other zones,
+    /// whose heartbeats do not arrive through relays of this zone.
     fn contacts(&self, random: &mut impl Rng) -> Vec<SocketAddr> {
         let is_remote = |member: &Member| {
             let state = member.state();
@@ -191,8 +190,8 @@
         unconfirmed.into_iter().chain(known).collect()
     }
 
-    /// Addresses of others for a heartbeat: the relays of each zone, or in a small
-    /// fleet some by chance.
+    /// Returns the addresses that a heartbeat advertises: the relays of each zone, or in a small
+    /// fleet a random selection.
     pub fn advertised_addresses(&self, now: Now, random: &mut impl Rng) -> Vec<SocketAddr> {
         if !self.has_relays {
             let live = self.live(now).map(|(address, _)| address);
@@ -209,8 +208,7 @@
         zones.flat_map(relays_of).collect()
     }
 
-    /// The other instances of this zone that live: who a relay passes heartbeats on
-    /// to.
+    /// Returns the other live instances of this zone, to which a relay forwards heartbeats.
     pub fn neighbours(&self, now: Now) -> Vec<SocketAddr> {
         let members = self.members.iter();
         let is_neighbour = |member: &Member| {
@@ -224,24 +222,24 @@
         neighbours.map(|(address, _)| *address).collect()
     }
 
-    /// Time in which a relay gathers heartbeats before it passes them on.
+    /// Returns the time for which a relay collects heartbeats before it forwards them.
     pub fn bundle_interval(&self, now: Now) -> Duration {
         let neighbours = u32::try_from(self.neighbours(now).len()).unwrap_or(u32::MAX);
         BUNDLE_INTERVAL_PER_NEIGHBOUR * neighbours
     }
 
-    /// Whether the shares of an instance count by themselves: those of other zones
-    /// are in the sums of their relays.
+    /// Returns whether the shares of an instance in `zone` count individually: the shares of other
+    /// zones are in the sums of their relays.
     pub fn follows(&self, zone: &str) -> bool {
         zone == self.zone || !self.has_relays
     }
 
-    /// Whether this instance is a relay of its zone.
+    /// Returns whether this instance is a relay of its zone.
     pub fn relays(&self, now: Now) -> bool {
         self.is_among_first(now, RELAYS_PER_ZONE)
     }
 
-    /// Whether this instance is a relay, or soon may be one.
+    /// Returns whether this instance is a relay or ranks high enough to become one.
     pub(super) fn is_relay_candidate(&self, now: Now) -> bool {
         self.is_among_first(now, CANDIDATES)
     }
@@ -251,7 +249,7 @@
         self.has_relays && ranked.take(most).any(|a| a == self.own_address)
     }
 
-    /// Other zones of which an instance was known lately.
+    /// Returns the other zones with an instance whose last heartbeat is recent.
     pub(super) fn live_zones(&self, now: Now) -> Vec<ZoneId> {
         let zones = self.other_zones().into_iter();
         let zones = zones.filter(|zone| !self.ranked(now, zone, REMOTE_RELAY_SILENCE).is_empty());
@@ -267,9 +265,9 @@
         zones
     }
 
-    /// The instances of a zone that were known within `silence`, the strongest
-    /// first: relaying for 60 instances takes more bytes than a small one may send.
-    /// This instance is among those of its own zone.
+    /// Returns the instances of a zone with a heartbeat within `silence`, ordered by processor
+    /// capacity, largest first: relaying for 60 instances takes more bytes than a small instance
+    /// may send. The result includes this instance if `zone` is its own.
     fn ranked(&self, now: Now, zone: &str, silence: Duration) -> Vec<SocketAddr> {
         let is_recent = |member: &Member| now.saturating_sub(member.received_at) < silence;
         let members = self.members.iter().filter(|(_, m)| is_recent(m));
@@ -288,7 +286,7 @@
     }
 }
 
-/// Fisher and Yates.
+/// Shuffles with the Fisher–Yates algorithm.
 fn shuffle<T>(items: &mut [T], random: &mut impl Rng) {
     for index in (1..items.len()).rev() {
         let other = random.next_u32() as usize % (index + 1);
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -1,5 +1,5 @@
-//! Who reads the platform's directory: one instance a zone for all while that is well, and
-//! each for itself when what it knows gets old.
+//! Decides which instances read the platform's directory: normally one instance per zone on behalf
+//! of all, and each instance for itself once its state gets old.
 
 use std::time::Duration;
 
@@ -10,44 +10,45 @@
 use crate::directory::reading_waits::SLOT;
 use crate::rendezvous_rank;
 
-/// Readers of the directory in each availability zone.
+/// Readers of the directory per availability zone.
 const READERS_PER_ZONE: usize = 1;
 
-/// Availability zones of a large fleet in which instances read; the others hear of
-/// it from relays. Each call has a price.
+/// Availability zones of a large fleet in which instances read; the others receive updates from
+/// relays. Each call to the directory has a cost.
 const READING_ZONES: usize = 2;
 
-/// What zones are ranked for when readers are chosen.
+/// Rendezvous topic for which zones are ranked to select readers.
 const READERS_TOPIC: &str = "readers";
 
-/// Age from which the list counts as lost, on top of two heartbeats: engines are then asked
-/// themselves, which has a price.
+/// Age above which the list counts as stale, on top of two heartbeat intervals. Engines are then
+/// queried directly, which has a cost.
 const STALE_AFTER: Duration = Duration::from_millis(1_300);
 
-/// Readers of the list in each availability zone of a fleet with relays while nobody's
-/// knowledge is fresh: a whole list is many pages.
+/// Readers of the list per availability zone, in a fleet with relays, while no instance has a fresh
+/// list: a complete list takes many pages.
 const READERS_DURING_OUTAGE: usize = 2;
 
-/// Time for which the same instances try to read the list in trouble; then it is the topic
-/// of others, of which one may be let in where these are not.
+/// Time for which the same instances try to read the list during an outage. Then others try, as the
+/// directory may be reachable for one of them where the first ones had no success.
 const READER_TERM: Duration = Duration::from_secs(1);
 
 impl FleetMembers {
-    /// Whether the list that was confirmed then counts as lost.
+    /// Returns whether a list last confirmed at `confirmed_at` is stale.
     pub fn is_stale(&self, now: Now, confirmed_at: Option<Now>) -> bool {
         let limit = STALE_AFTER + self.base_heartbeat_interval(now) * 2;
         confirmed_at.is_none_or(|at| now.saturating_sub(at) > limit)
     }
 
-    /// Whether what was confirmed then is older than readers and heartbeats let
-    /// it get.
+    /// Returns whether state last confirmed at `confirmed_at` is older than regular reads and
+    /// heartbeats allow.
     pub fn is_old(&self, now: Now, confirmed_at: Option<Now>) -> bool {
         confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).old_after())
     }
 
-    /// Whether this instance should watch the platform's directory: by its rank in its zone
-    /// among those that can, or because what it knows is old. Then nobody is relied on: who
-    /// is heard may be cut off from the directory, or have just stopped.
+    /// Returns whether this instance should watch the platform's directory: because of its rank
+    /// among the instances of its zone that can read, or because its state is old. In the latter
+    /// case it does not rely on other instances, as a live peer may be cut off from the directory
+    /// or have just stopped.
     pub fn reads(&self, now: Now, confirmed_at: Option<Now>, can_read: bool) -> bool {
         let Some(confirmed_at) = confirmed_at else {
             return true;
@@ -61,8 +62,8 @@
             && self.rank(&self.zone, now, |state| state.can_read) < READERS_PER_ZONE
     }
 
-    /// The same for the list of backend servers, which few read in trouble where it is large,
-    /// and while all start.
+    /// Returns whether this instance should read the list of backend servers. Where the list is
+    /// large, and while the whole fleet starts, only a few instances read it during an outage.
     pub fn reads_list(&self, now: Now, confirmed_at: Option<Now>, can_read: bool) -> bool {
         let is_rotating = self.has_relays || confirmed_at.is_none();
         if is_rotating && self.is_old(now, confirmed_at) {
@@ -72,7 +73,7 @@
         self.reads(now, confirmed_at, can_read)
     }
 
-    /// The waits of a change in this fleet.
+    /// Returns the waiting times for updates in this fleet.
     pub fn waits(&self, now: Now) -> ReadingWaits {
         ReadingWaits {
             has_relays: self.has_relays,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// How much later than the first of its zone this instance reads by itself.
+    /// Returns by how much this instance delays its own reads after those of the first instance in
+    /// its zone.
     fn read_delay(&self, now: Now) -> Duration {
         let rank = self.rank(&self.zone, now, |_| true);
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
@@ -99,7 +101,7 @@
             .any(|zone| *zone == self.zone)
     }
 
-    /// The rank of this instance by rank among those in its zone that count.
+    /// Returns the rank of this instance among those in its zone for which `counts` returns true.
     fn rank(&self, topic: &str, now: Now, counts: impl Fn(&MemberState) -> bool) -> usize {
         let peers = self.live_states(now);
         let peers = peers.filter(|state| state.zone == self.zone && counts(state));
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -1,5 +1,5 @@
-//! The list of backend servers over outages, the members of the fleet, and the
-//! retry budget that they share.
+//! Tests of the list of backend servers during outages, of the fleet members and of the shared
+//! retry budget.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn a_removed_entry_is_gone_at_once() {
+fn a_removed_entry_disappears_at_once() {
     let mut list = list();
     list.change(ms(0), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
     assert_eq!(list.state("e1"), ListedState::Removed);
 }
 
-/// The grace counts from the end of the outage, not from the removal: a server
-/// that leaves in good order soon after an outage gets nothing new for longer
-/// than the users allow otherwise (hunt-e87f-3 of cmuca-cotacao).
+/// The grace period starts at the end of the outage, not at the removal. Otherwise a server that
+/// drains in good order soon after an outage would still get no new requests for longer than the
+/// operators allow (hunt-e87f-3 of cmuca-cotacao).
 #[test_case(5_010, ListedState::Lapsed; "at the end of the outage")]
 #[test_case(6_990, ListedState::Lapsed; "within two seconds")]
 #[test_case(7_010, ListedState::Removed; "later")]
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_lapsed_entry_counts_as_serving_for_no_longer_than_the_grace() {
+fn an_expired_entry_serves_no_longer_than_the_grace_period() {
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.change(ms(5_500), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_leaving_server_does_not_come_back_by_an_outage() {
+fn an_outage_does_not_bring_back_a_draining_server() {
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.snapshot(ms(5_010), 12, vec![engine("e1", "z1")]);
@@ -99,10 +99,10 @@
     assert_eq!(list.state("e1"), ListedState::Lapsed);
 }
 
-/// An instance that fetches the list from a peer must not take a lapsed entry
-/// for a listed one: nobody would ever remove it.
+/// An instance that fetches the list from a peer must not treat an expired entry as a listed one,
+/// as nothing would ever remove it.
 #[test]
-fn a_lapsed_entry_lapses_also_where_the_list_was_fetched() {
+fn an_expired_entry_stays_expired_where_the_list_is_fetched() {
     let mut source = list();
     source.outage_ended(ms(5_000));
     source.snapshot(ms(5_100), 12, Vec::new());
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_outage_long_ago_is_not_told() {
+fn an_outage_long_ago_is_not_advertised() {
     let mut source = list();
     source.outage_ended(ms(5_000));
     assert_eq!(source.told(ms(6_990)).outage_ended_ms, Some(1_990));
@@ -122,31 +122,31 @@
 }
 
 #[test]
-fn older_news_change_nothing() {
+fn older_updates_are_ignored() {
     let mut list = list();
     assert!(!list.change(ms(0), 10, vec![ReplicaChange::Removed("e1".to_owned())]));
     assert!(!list.snapshot(ms(0), 9, Vec::new()));
     assert_eq!(list.state("e1"), ListedState::Serving);
 }
 
-/// Instances that pass on how old something is, one after the other: with 5 ms
-/// from one to the next it seemed 4.7 s old after 8 s.
+/// Guards against an age that shrinks as instances pass it on to each other: with a transit time of
+/// 5 ms from one to the next, state that was 8 s old seemed 4.7 s old.
 #[test]
-fn an_age_that_is_passed_on_never_gets_younger() {
+fn a_forwarded_age_never_shrinks() {
     let (way, between) = (ms(5), ms(12));
     let mut now = ms(1_000);
-    let mut told_age = Duration::ZERO;
+    let mut advertised_age = Duration::ZERO;
     let outage_ends = now + Duration::from_secs(8);
     while now < outage_ends {
-        // Told now, heard a little later, and told again.
-        let heard_at = now + way;
-        let confirmed_at = FleetMembers::confirmed_at(heard_at, told_age);
+        // Advertised, received a little later, and advertised again.
+        let received_at = now + way;
+        let confirmed_at = FleetMembers::confirmed_at(received_at, advertised_age);
         now += between;
-        told_age = now.saturating_sub(confirmed_at);
+        advertised_age = now.saturating_sub(confirmed_at);
     }
     assert!(
-        told_age >= Duration::from_secs(8),
-        "it seems {told_age:?} old"
+        advertised_age >= Duration::from_secs(8),
+        "it seems {advertised_age:?} old"
     );
 }
 
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_peer_that_is_ahead_is_named() {
+fn a_peer_that_is_ahead_is_listed() {
     let mut fleet = members(1);
     let mut newer = state(2, "z1", None);
     newer.config_version = 5;
@@ -225,7 +225,7 @@
     );
 }
 
-/// Further sends of all instances together stay within the ratio and the extra.
+/// Retries of all instances together stay within the ratio plus the extra.
 #[test]
 fn the_fleet_shares_one_retry_budget() {
     let mut granted = 0;
@@ -251,10 +251,10 @@
     assert!(granted >= 6, "{granted} further sends");
 }
 
-/// A small instance that hands a large configuration to many is slow and may run out
-/// of memory.
+/// Guards against fetching from a small instance: one that hands a large configuration to many
+/// peers is slow and may run out of memory.
 #[test]
-fn a_large_fleet_fetches_from_the_strong_ones_of_its_zone() {
+fn a_large_fleet_fetches_from_the_strongest_instances_of_the_zone() {
     let mut fleet = members(1);
     for number in 2..=40 {
         let zone = if number % 2 == 0 { "z1" } else { "z2" };
@@ -273,12 +273,12 @@
     assert_eq!(names(&fleet), ["i10", "i20", "i30", "i40"]);
 }
 
-/// Other zones hear of choices soon, and bytes don't grow with the engines.
+/// Other zones receive placements soon, and the bytes sent do not grow with the number of engines.
 #[test_case(0, 100; "none yet")]
 #[test_case(60, 100; "sixty engines")]
 #[test_case(133, 133; "a large fleet of today")]
 #[test_case(3_000, 300; "three thousand")]
-fn a_relay_tells_other_zones_as_often_as_its_sums_allow(sums: usize, expected_ms: u64) {
+fn the_interval_of_a_relay_grows_with_its_sums(sums: usize, expected_ms: u64) {
     assert_eq!(
         FleetMembers::relay_heartbeat_interval(sums),
         ms(expected_ms)
--- a/crates/core/tests/gateway_relays.rs
+++ b/crates/core/tests/gateway_relays.rs
@@ -1,4 +1,4 @@
-//! How a fleet's instances learn of each other's loads by way of relays.
+//! Tests of the distribution of loads within a fleet through relays.
 
 mod relay_scene;
 
@@ -23,7 +23,7 @@
 #[test_case(30, 3, 1_500; "thirty")]
 #[test_case(100, 5, 2_500; "a hundred")]
 #[test_case(300, 5, 2_500; "three hundred")]
-fn a_start_of_all_leads_to_the_right_picture(count: usize, zones: usize, within_ms: u64) {
+fn all_views_converge_after_a_cold_start(count: usize, zones: usize, within_ms: u64) {
     for seed in 0..3 {
         let mut fleet = SimulatedFleet::start(count, zones, seed);
         let took = fleet.time_to_agree(ms(within_ms));
@@ -35,11 +35,12 @@
     }
 }
 
-/// What an instance receives and most of them send stays about the same.
+/// The rate of messages that an instance receives, and that most instances send, does not grow with
+/// the fleet.
 #[test_case(30, 3; "thirty")]
 #[test_case(100, 5; "a hundred")]
 #[test_case(300, 5; "three hundred")]
-fn messages_do_not_grow_with_the_fleet(count: usize, zones: usize) {
+fn message_rates_do_not_grow_with_the_fleet(count: usize, zones: usize) {
     let mut fleet = SimulatedFleet::start(count, zones, 1);
     fleet.run_for(ms(5_000));
     fleet.reset_counters();
@@ -61,19 +62,20 @@
     );
 }
 
-/// The zone knows of a placement within a bundle, the others with the next sums.
+/// The local zone receives a placement within one bundle interval, the other zones with the next
+/// sums.
 #[test]
-fn a_placement_is_known_soon() {
+fn a_placement_is_propagated_quickly() {
     let mut fleet = SimulatedFleet::start(300, 5, 2);
     fleet.run_for(ms(6_000));
     assert!(fleet.out_of_date().is_empty());
     fleet.place(299, 3_000);
     fleet.run_for(ms(100));
     let zone = fleet.instances[299].zone.clone();
-    let is_near = |own: &usize| fleet.instances[*own].zone == zone;
+    let is_in_zone = |own: &usize| fleet.instances[*own].zone == zone;
     let out_of_date = fleet.out_of_date();
     assert_eq!(
-        out_of_date.iter().filter(|own| is_near(own)).count(),
+        out_of_date.iter().filter(|own| is_in_zone(own)).count(),
         0,
         "in its zone"
     );
@@ -85,9 +87,9 @@
     );
 }
 
-/// What lost datagrams hide is told again.
+/// State in lost datagrams is sent again.
 #[test]
-fn lost_datagrams_make_the_picture_older_only() {
+fn lost_datagrams_only_delay_convergence() {
     let mut fleet = SimulatedFleet::start(100, 5, 3);
     fleet.loses_one_in = 20;
     fleet.run_for(ms(6_000));
@@ -99,20 +101,20 @@
 #[test_case(&[0], 2_500; "one relay of a zone")]
 #[test_case(&[0, 5, 10], 5_000; "all strong instances of a zone")]
 #[test_case(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14], 6_000; "all strong instances")]
-fn the_picture_heals_when_relays_are_gone(stopped: &[usize], within_ms: u64) {
+fn views_converge_after_relays_stop(stopped: &[usize], within_ms: u64) {
     let mut fleet = SimulatedFleet::start(100, 5, 4);
     fleet.run_for(ms(5_000));
     for own in stopped {
         fleet.instances[*own].is_alive = false;
     }
     fleet.place(99, 3_000);
-    // Shares of the dead count for three seconds.
+    // Shares of stopped instances count for three seconds.
     let took = fleet.time_to_agree(ms(3_400 + within_ms));
     assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
 #[test]
-fn a_zone_that_was_cut_off_is_heard_again() {
+fn a_partitioned_zone_rejoins() {
     let mut fleet = SimulatedFleet::start(100, 5, 5);
     fleet.run_for(ms(5_000));
     fleet.cut_off = Some("z1".to_owned());
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn instances_that_stood_still_do_no_lasting_harm() {
+fn views_converge_after_instances_were_suspended() {
     let mut fleet = SimulatedFleet::start(100, 5, 6);
     fleet.run_for(ms(5_000));
     let wakes = fleet.now + ms(3_000);
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn a_process_that_starts_again_twice_is_known_by_its_last_life() {
+fn a_process_that_restarts_twice_is_known_by_its_last_incarnation() {
     let mut fleet = SimulatedFleet::start(100, 5, 7);
     fleet.run_for(ms(5_000));
     fleet.restart(42);
@@ -150,7 +152,7 @@
 }
 
 #[test]
-fn all_processes_that_start_again_find_each_other() {
+fn processes_find_each_other_after_all_restart() {
     let mut fleet = SimulatedFleet::start(100, 5, 8);
     fleet.run_for(ms(5_000));
     for own in 0..100 {
@@ -160,10 +162,10 @@
     assert!(took.is_some(), "{} differ", fleet.out_of_date().len());
 }
 
-/// Two zones of a large fleet read for all, one instance in each; when they are
-/// stopped, others do.
+/// In two zones of a large fleet, one instance each reads for all; when these stop, others take
+/// over.
 #[test]
-fn a_few_read_for_a_large_fleet() {
+fn a_few_instances_read_for_a_large_fleet() {
     let mut fleet = SimulatedFleet::start(100, 5, 9);
     fleet.run_for(ms(5_000));
     for _ in 0..3 {
@@ -177,7 +179,7 @@
     }
 }
 
-/// Living instances that read while what they know is fresh.
+/// Returns the live instances that read while their state is fresh.
 fn readers(fleet: &SimulatedFleet) -> Vec<usize> {
     let instances = fleet.instances.iter().enumerate();
     let now = fleet.now;
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn a_late_message_of_an_earlier_life_is_old() {
+fn a_late_message_of_an_earlier_incarnation_is_old() {
     let mut order = MessageOrder::new("one".to_owned(), 7);
     assert_eq!(order.arrive(&"one".to_owned(), 7), Arrival::Old);
     assert_eq!(order.arrive(&"one".to_owned(), 8), Arrival::Newer);
@@ -198,7 +200,7 @@
     assert_eq!(order.arrive(&"two".to_owned(), 2), Arrival::Newer);
 }
 
-fn told(instance: &str, zone: &str, tokens: u64, digest: Option<u64>) -> AdvertisedLoads {
+fn advertised(instance: &str, zone: &str, tokens: u64, digest: Option<u64>) -> AdvertisedLoads {
     let shares = |session_tokens| {
         let load = LoadShare {
             session_tokens,
@@ -219,24 +221,24 @@
     }
 }
 
-/// The sums of another zone hold the shares of those that are heard from there
-/// themselves; those of the own zone would hold this instance's own.
+/// The sums of another zone include the shares of instances there whose messages are received
+/// directly. The sums of the own zone would include this instance's own shares.
 #[test]
-fn nothing_is_counted_twice() {
+fn no_share_is_counted_twice() {
     let mut loads = PeerLoads::new("z1".to_owned());
-    loads.hear(ms(0), told("i2", "z1", 10, Some(500)));
-    loads.hear(ms(0), told("i3", "z2", 20, None));
+    loads.hear(ms(0), advertised("i2", "z1", 10, Some(500)));
+    loads.hear(ms(0), advertised("i3", "z2", 20, None));
     assert_eq!(loads.on("e1").session_tokens, 30);
     assert_eq!(loads.count(), 2);
-    loads.hear(ms(0), told("i4", "z2", 5, Some(100)));
+    loads.hear(ms(0), advertised("i4", "z2", 5, Some(100)));
     assert_eq!(loads.on("e1").session_tokens, 110);
     assert_eq!(loads.count(), 5);
 }
 
 #[test]
-fn sums_that_are_no_longer_told_count_no_longer() {
+fn digests_expire_when_no_longer_advertised() {
     let mut loads = PeerLoads::new("z1".to_owned());
-    loads.hear(ms(0), told("i4", "z2", 5, Some(100)));
+    loads.hear(ms(0), advertised("i4", "z2", 5, Some(100)));
     loads.expire(ms(2_900));
     assert_eq!(loads.on("e1").session_tokens, 100);
     loads.expire(ms(3_100));
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Configuration order, readers, peers' messages: decisions of membership.
+//! Tests of membership decisions: configuration order, selection of readers, peer messages.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeSet;
@@ -63,8 +63,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever order: the version in force only grows, and
-    /// no refused document is ever in force.
+    /// For any order of offers, the version in force never decreases, and a refused document is
+    /// never in force.
     #[test]
     fn the_version_in_force_never_reverts(offers in prop::collection::vec((1_u64..30, any::<bool>()), 0..60)) {
         let mut order = ConfigOrder::default();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A roster from a stale replica changes nothing.
+    /// An instance list from a stale replica is ignored.
     #[test]
     fn an_older_list_is_ignored(versions in prop::collection::vec(1_u64..20, 1..40)) {
         let mut roster = Roster::default();
@@ -95,10 +95,10 @@
 #[test_case(3, 0, 2; "three")]
 #[test_case(9, 0, 2; "nine")]
 #[test_case(270, 0, 2; "the target's zone")]
-#[test_case(270, 11, 2; "news is on its way")]
+#[test_case(270, 11, 2; "updates are on their way")]
 #[test_case(270, 13, 4; "readers are silent")]
 #[test_case(270, 20, 8; "more are silent")]
-#[test_case(9, 60, 9; "all take part in the end")]
+#[test_case(9, 60, 9; "all read in the end")]
 fn readers_of_a_zone(size: usize, age_s: u64, expected: usize) {
     let roster = roster(size);
     let age = Duration::from_secs(age_s);
@@ -114,7 +114,7 @@
     assert!(rota.reads(&Roster::default(), Duration::ZERO));
 }
 
-/// Its rank does not matter: it has nothing to serve with.
+/// An instance without a configuration reads whatever its rank is, as it cannot serve without one.
 #[test]
 fn an_instance_without_a_configuration_reads() {
     let fleet = roster(9);
@@ -160,8 +160,8 @@
     }
 }
 
-/// Peers that are told at once, over rounds, reach the whole zone: the spread
-/// by fan-out alone, without the periodic exchanges.
+/// A change that is sent on in rounds reaches the whole zone by fan-out alone, without the periodic
+/// exchanges.
 #[test_case(9; "today")]
 #[test_case(270; "the target's zone")]
 fn a_change_spreads_by_fan_out(size: usize) {
@@ -193,7 +193,7 @@
         document: document.clone(),
         source: source.to_owned(),
     };
-    let mut informed = BTreeSet::from([0]);
+    let mut reached = BTreeSet::from([0]);
     let mut frontier = vec![0];
     let mut messages = 0;
     let mut rounds = 0;
@@ -205,7 +205,7 @@
                 if let Command::ExchangeWith { instance, .. } = command {
                     messages += 1;
                     let peer: usize = instance[1..].parse().unwrap();
-                    if informed.insert(peer) {
+                    if reached.insert(peer) {
                         next.push(peer);
                     }
                 }
@@ -214,13 +214,13 @@
         frontier = next;
     }
     println!(
-        "{size} instances: {} informed in {rounds} rounds by {messages} messages",
-        informed.len()
+        "{size} instances: {} reached in {rounds} rounds by {messages} messages",
+        reached.len()
     );
     assert!(
-        informed.len() * 10 >= size * 9,
+        reached.len() * 10 >= size * 9,
         "{} of {size}",
-        informed.len()
+        reached.len()
     );
 }
 
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_key_is_replaced_without_a_gap() {
+fn keys_can_be_rotated_without_rejections() {
     let (old, new) = ("01".repeat(32), "02".repeat(32));
     let before = Keyring::from_hex(std::slice::from_ref(&old)).unwrap();
     let during = Keyring::from_hex(&[new.clone(), old]).unwrap();
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn hybrid_time_follows_causes_and_ignores_a_wild_clock() {
+fn hybrid_time_respects_causality_and_ignores_a_wrong_clock() {
     let mut clock = HybridClock::default();
     let sent = HybridTime {
         wall_ms: 5_000,
--- a/crates/core/tests/relay_scene/mod.rs
+++ b/crates/core/tests/relay_scene/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of instances that tell each other their loads, in virtual time: the
-//! real decisions on who is told, over links that lose, cut and wait.
+//! Simulation of a fleet whose instances advertise their loads to each other, in virtual time: the
+//! targets are selected by the real code; the links lose, block and delay datagrams.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeMap;
@@ -18,13 +18,13 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
-/// One step of the fleet.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Instances of a zone that are stronger than the others.
+/// Instances per zone with more processor capacity than the others.
 const STRONG_PER_ZONE: usize = 3;
 
-/// A heartbeat on its way.
+/// A heartbeat in transit.
 #[derive(Clone)]
 struct Heartbeat {
     address: SocketAddr,
@@ -40,19 +40,19 @@
     heartbeats: Vec<Heartbeat>,
 }
 
-/// One instance of the fleet.
+/// A simulated instance.
 pub struct Instance {
     pub zone: String,
     pub members: FleetMembers,
     pub loads: PeerLoads,
-    /// Tokens that it has put on the one engine, "e1".
+    /// Tokens that it has placed on the only engine, "e1".
     pub tokens: u64,
     pub is_alive: bool,
-    /// Datagrams that it has received.
+    /// Datagrams received since the last reset.
     pub received: u64,
-    /// Datagrams that it has sent.
+    /// Datagrams sent since the last reset.
     pub sent: u64,
-    /// Stands still until then.
+    /// The instance is suspended until this time.
     pub frozen_until: Now,
     life: u32,
     sequence: u64,
@@ -62,11 +62,11 @@
     delayed: Vec<Datagram>,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct SimulatedFleet {
     pub now: Now,
     pub instances: Vec<Instance>,
-    /// Zones between which nothing passes.
+    /// Zone that exchanges no datagrams with the others.
     pub cut_off: Option<String>,
     /// One in this many datagrams is lost; 0 for none.
     pub loses_one_in: u32,
@@ -82,7 +82,7 @@
 
 fn number(address: &SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("the fleet has IPv4 only");
+        panic!("simulated addresses are IPv4");
     };
     let [_, _, high, low] = address.ip().octets();
     usize::from(high) << 8 | usize::from(low)
@@ -110,7 +110,8 @@
 }
 
 impl SimulatedFleet {
-    /// A fleet that starts at once, spread over zones, and knows three seeds.
+    /// Creates a fleet whose instances start at the same time, are spread over the zones and know
+    /// three seeds.
     pub fn start(count: usize, zones: usize, seed: u64) -> SimulatedFleet {
         let mut random = Pcg32::seed_from_u64(seed);
         let instances = (0..count).map(|own| Instance {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Ends a process and starts it again with nothing known.
+    /// Restarts a process without any state.
     pub fn restart(&mut self, own: usize) {
         let zones = self.zones;
         let now = self.now;
@@ -155,13 +156,13 @@
         instance.is_alive = true;
     }
 
-    /// Puts tokens on the engine and tells of it at once.
+    /// Places tokens on the engine and advertises them at once.
     pub fn place(&mut self, own: usize, tokens: u64) {
         self.instances[own].tokens += tokens;
         self.instances[own].next_heartbeat_at = self.now + STEP;
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by `time`.
     pub fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -324,8 +325,8 @@
         }
     }
 
-    /// Instances whose picture of the engine's load differs from what the others
-    /// that live have put there.
+    /// Returns the live instances whose view of the engine's load differs from the load that the
+    /// other live instances have placed there.
     pub fn out_of_date(&self) -> Vec<usize> {
         let live = || {
             self.instances
@@ -340,7 +341,8 @@
         wrong.map(|(own, _)| own).collect()
     }
 
-    /// Time until all pictures are right, within a bound.
+    /// Runs until the views of all instances are right; returns the time it took, or `None` if it
+    /// exceeds `within`.
     pub fn time_to_agree(&mut self, within: Duration) -> Option<Duration> {
         let began = self.now;
         while self.now < began + within {
@@ -352,7 +354,7 @@
         None
     }
 
-    /// Forgets the datagrams counted so far.
+    /// Resets the datagram counters.
     pub fn reset_counters(&mut self) {
         for instance in &mut self.instances {
             instance.received = 0;
