--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -184,7 +184,7 @@
 
     /// Notes what a peer tells of the load of the replicas.
     pub fn hear_peer(&mut self, now: Now, told: AdvertisedLoads) {
-        self.peers.hear(now, told);
+        self.peers.apply(now, told);
         self.share_budget();
     }
 
--- a/crates/core/src/membership/fleet_members.rs
+++ b/crates/core/src/membership/fleet_members.rs
@@ -139,7 +139,12 @@
 
     /// Applies a heartbeat and returns its position relative to earlier ones. An old heartbeat is
     /// ignored. The times of a delayed heartbeat are moved back by its delay.
-    pub fn hear(&mut self, now: Now, address: SocketAddr, mut state: MemberState) -> Arrival {
+    pub fn apply_heartbeat(
+        &mut self,
+        now: Now,
+        address: SocketAddr,
+        mut state: MemberState,
+    ) -> Arrival {
         self.has_relays |= state.has_relays;
         let member = self.members.entry(address).or_insert(Member {
             last_heartbeat: None,
@@ -260,16 +265,18 @@
         ahead
     }
 
-    /// Returns the latest time, known to any live instance, at which the platform confirmed this
-    /// revision of the list or an earlier one.
+    /// Returns the latest time at which the platform confirmed this revision of the list, as far as
+    /// any live instance knows. Confirmations of earlier revisions count too: what was current then
+    /// is not newer than this revision.
     pub fn list_confirmed_at(&self, now: Now, list_revision: Revision) -> Option<Now> {
         let states = self.live_states(now);
         let same = states.filter(|state| state.list_revision <= list_revision);
         same.filter_map(|state| state.list_confirmed_at).max()
     }
 
-    /// Returns the latest time, known to any live instance, at which the platform confirmed this
-    /// version of the configuration or an earlier one.
+    /// Returns the latest time at which the platform confirmed this version of the configuration,
+    /// as far as any live instance knows. Confirmations of earlier versions count too: what was
+    /// current then is not newer than this version.
     pub fn config_confirmed_at(&self, now: Now, version: ConfigVersion) -> Option<Now> {
         let states = self.live_states(now);
         let same = states.filter(|state| state.config_version <= version);
--- a/crates/core/src/membership/fleet_members/fan_out.rs
+++ b/crates/core/src/membership/fleet_members/fan_out.rs
@@ -18,7 +18,7 @@
 
 /// Number of members below which heartbeats go to all members directly: in a fleet this small,
 /// relaying saves few messages and adds a delay.
-const MAX_DIRECT_MEMBERS: usize = 32;
+const RELAY_MEMBER_THRESHOLD: usize = 32;
 
 /// Relays per availability zone. Heartbeats rotate among them, so that the loss of one relay delays
 /// the state by one heartbeat but does not make it wrong.
@@ -106,7 +106,7 @@
             };
             now.saturating_sub(member.received_at) < lifetime
         });
-        self.has_relays |= self.members.len() >= MAX_DIRECT_MEMBERS;
+        self.has_relays |= self.members.len() >= RELAY_MEMBER_THRESHOLD;
         let mut fan_out = match self.has_relays {
             true => self.relayed_fan_out(now, random),
             false => self.direct_fan_out(now),
@@ -230,12 +230,12 @@
 
     /// Returns whether the shares of an instance in `zone` count individually: the shares of other
     /// zones are in the sums of their relays.
-    pub fn follows(&self, zone: &str) -> bool {
+    pub fn counts_individually(&self, zone: &str) -> bool {
         zone == self.zone || !self.has_relays
     }
 
     /// Returns whether this instance is a relay of its zone.
-    pub fn relays(&self, now: Now) -> bool {
+    pub fn is_relay(&self, now: Now) -> bool {
         self.is_among_first(now, RELAYS_PER_ZONE)
     }
 
--- a/crates/core/src/membership/peer_loads.rs
+++ b/crates/core/src/membership/peer_loads.rs
@@ -155,7 +155,7 @@
     }
 
     /// Applies the loads that an instance advertises; an older message of it is ignored.
-    pub fn hear(&mut self, now: Now, advertised: AdvertisedLoads) {
+    pub fn apply(&mut self, now: Now, advertised: AdvertisedLoads) {
         if let Some(peer) = self.peers.get_mut(&advertised.instance) {
             if peer
                 .order
@@ -239,7 +239,7 @@
     }
 
     /// Returns whether some loads are received through relays.
-    pub fn by_relays(&self) -> bool {
+    pub fn uses_relays(&self) -> bool {
         self.zones.values().any(|loads| loads.digest.is_some())
     }
 
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -40,8 +40,8 @@
 }
 
 /// The grace period starts at the end of the outage, not at the removal. Otherwise a server that
-/// drains in good order soon after an outage would still get no new requests for longer than the
-/// operators allow (hunt-e87f-3 of cmuca-cotacao).
+/// drains in good order soon after an outage would get no new requests for longer than the users
+/// allow (hunt-e87f-3 of cmuca-cotacao).
 #[test_case(5_010, ListedState::Lapsed; "at the end of the outage")]
 #[test_case(6_990, ListedState::Lapsed; "within two seconds")]
 #[test_case(7_010, ListedState::Removed; "later")]
@@ -166,7 +166,7 @@
 fn a_silent_instance_is_sent_fewer_heartbeats_and_then_none() {
     let mut random = Pcg32::seed_from_u64(1);
     let mut fleet = members(1);
-    fleet.hear(ms(0), address(2), state(2, "z1", None));
+    fleet.apply_heartbeat(ms(0), address(2), state(2, "z1", None));
     let sent = |fleet: &mut FleetMembers, random: &mut Pcg32, at: Now| {
         (0..10)
             .filter(|_| !fleet.fan_out(at, random).direct.is_empty())
@@ -186,7 +186,7 @@
     for number in 2..=count {
         let mut stronger = state(number, "z1", None);
         stronger.core_millis = 500;
-        fleet.hear(ms(0), address(number), stronger);
+        fleet.apply_heartbeat(ms(0), address(number), stronger);
     }
     let mut random = Pcg32::seed_from_u64(1);
     let fan_out = fleet.fan_out(ms(0), &mut random);
@@ -200,8 +200,8 @@
     let mut fleet = members(1);
     let mut newer = state(2, "z1", None);
     newer.config_version = 5;
-    fleet.hear(ms(0), address(2), newer);
-    fleet.hear(ms(0), address(3), state(3, "z1", None));
+    fleet.apply_heartbeat(ms(0), address(2), newer);
+    fleet.apply_heartbeat(ms(0), address(3), state(3, "z1", None));
     let ahead = fleet.ahead(ms(0), 1, 1.into());
     assert_eq!(ahead.len(), 1);
     assert_eq!(ahead[0].1.instance, "i2");
@@ -213,8 +213,8 @@
     let mut fleet = members(1);
     let mut newer = state(2, "z1", Some(ms(900)));
     newer.config_version = 5;
-    fleet.hear(ms(1_000), address(2), newer);
-    fleet.hear(ms(1_000), address(3), state(3, "z1", Some(ms(400))));
+    fleet.apply_heartbeat(ms(1_000), address(2), newer);
+    fleet.apply_heartbeat(ms(1_000), address(3), state(3, "z1", Some(ms(400))));
     assert_eq!(fleet.config_confirmed_at(ms(1_000), 1), Some(ms(400)));
     assert_eq!(fleet.config_confirmed_at(ms(1_000), 5), Some(ms(900)));
     assert!(fleet.is_ahead_in_config(ms(1_000), 1));
@@ -261,7 +261,7 @@
         let mut ahead = state(number, zone, None);
         ahead.config_version = 5;
         ahead.core_millis = if number % 10 < 2 { 500 } else { 120 };
-        fleet.hear(ms(0), address(number), ahead);
+        fleet.apply_heartbeat(ms(0), address(number), ahead);
     }
     let names = |fleet: &FleetMembers| {
         let sources = fleet.sources(ms(0), 1, 1.into());
--- a/crates/core/tests/gateway_relays.rs
+++ b/crates/core/tests/gateway_relays.rs
@@ -226,11 +226,11 @@
 #[test]
 fn no_share_is_counted_twice() {
     let mut loads = PeerLoads::new("z1".to_owned());
-    loads.hear(ms(0), advertised("i2", "z1", 10, Some(500)));
-    loads.hear(ms(0), advertised("i3", "z2", 20, None));
+    loads.apply(ms(0), advertised("i2", "z1", 10, Some(500)));
+    loads.apply(ms(0), advertised("i3", "z2", 20, None));
     assert_eq!(loads.on("e1").session_tokens, 30);
     assert_eq!(loads.count(), 2);
-    loads.hear(ms(0), advertised("i4", "z2", 5, Some(100)));
+    loads.apply(ms(0), advertised("i4", "z2", 5, Some(100)));
     assert_eq!(loads.on("e1").session_tokens, 110);
     assert_eq!(loads.count(), 5);
 }
@@ -238,7 +238,7 @@
 #[test]
 fn digests_expire_when_no_longer_advertised() {
     let mut loads = PeerLoads::new("z1".to_owned());
-    loads.hear(ms(0), advertised("i4", "z2", 5, Some(100)));
+    loads.apply(ms(0), advertised("i4", "z2", 5, Some(100)));
     loads.expire(ms(2_900));
     assert_eq!(loads.on("e1").session_tokens, 100);
     loads.expire(ms(3_100));
--- a/crates/core/tests/relay_scene/mod.rs
+++ b/crates/core/tests/relay_scene/mod.rs
@@ -54,7 +54,7 @@
     pub sent: u64,
     /// The instance is suspended until this time.
     pub frozen_until: Now,
-    life: u32,
+    incarnation: u32,
     sequence: u64,
     next_heartbeat_at: Now,
     bundle: Vec<Heartbeat>,
@@ -123,7 +123,7 @@
             received: 0,
             sent: 0,
             frozen_until: Now::ZERO,
-            life: 1,
+            incarnation: 1,
             sequence: 0,
             next_heartbeat_at: Duration::from_millis(u64::from(random.next_u32() % 300)),
             bundle: Vec::new(),
@@ -148,7 +148,7 @@
         let instance = &mut self.instances[own];
         instance.members = members(own, zones);
         instance.loads = PeerLoads::new(instance.zone.clone());
-        instance.life += 1;
+        instance.incarnation += 1;
         instance.sequence = 0;
         instance.next_heartbeat_at = now;
         instance.bundle.clear();
@@ -206,7 +206,7 @@
             ..LoadShare::default()
         };
         let shares: LoadShares = BTreeMap::from([("e1".to_owned(), load)]);
-        let incarnation = format!("life {}", instance.life);
+        let incarnation = format!("life {}", instance.incarnation);
         let mut heartbeat = Heartbeat {
             address: address(own),
             addresses: instance.members.advertised_addresses(now, &mut self.random),
@@ -305,7 +305,7 @@
                 continue;
             }
             let members = &mut instance.members;
-            let arrival = members.hear(now, heartbeat.address, heartbeat.state.clone());
+            let arrival = members.apply_heartbeat(now, heartbeat.address, heartbeat.state.clone());
             if arrival == Arrival::Old {
                 continue;
             }
@@ -316,8 +316,10 @@
                 members.queue_immediate_heartbeat(heartbeat.address);
                 instance.next_heartbeat_at = instance.next_heartbeat_at.min(now + STEP);
             }
-            if members.follows(&heartbeat.state.zone) || heartbeat.loads.digest.is_some() {
-                instance.loads.hear(now, heartbeat.loads.clone());
+            if members.counts_individually(&heartbeat.state.zone)
+                || heartbeat.loads.digest.is_some()
+            {
+                instance.loads.apply(now, heartbeat.loads.clone());
             }
             if datagram.pass_on {
                 self.pass_on(to, heartbeat);
@@ -335,10 +337,10 @@
                 .filter(|(_, i)| i.is_alive)
         };
         let total: u64 = live().map(|(_, instance)| instance.tokens).sum();
-        let is_wrong =
+        let is_out_of_date =
             |instance: &Instance| instance.loads.on("e1").session_tokens + instance.tokens != total;
-        let wrong = live().filter(|(_, instance)| is_wrong(instance));
-        wrong.map(|(own, _)| own).collect()
+        let outdated = live().filter(|(_, instance)| is_out_of_date(instance));
+        outdated.map(|(own, _)| own).collect()
     }
 
     /// Runs until the views of all instances are right; returns the time it took, or `None` if it
--- a/crates/daemon/src/peers/fleet_link/duty.rs
+++ b/crates/daemon/src/peers/fleet_link/duty.rs
@@ -88,7 +88,7 @@
             (now >= self.config_from).then_some(ReadingReason::First)
         } else if is_stuck {
             Some(ReadingReason::Behind)
-        } else if is_ahead && members.relays(now) {
+        } else if is_ahead && members.is_relay(now) {
             Some(ReadingReason::Relay)
         } else if members.reads(now, confirmed_at, knowledge.can_read()) {
             Some(match members.is_old(now, confirmed_at) {
