--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -84,7 +84,7 @@
         control.handle(
             NOW,
             0,
-            Event::RosterOffered {
+            Event::InstanceListOffered {
                 version: 1,
                 entries,
             },
--- a/crates/core/src/completion/backend_book.rs
+++ b/crates/core/src/completion/backend_book.rs
@@ -22,7 +22,7 @@
 
 /// Views by name, and per model the subset that this instance uses.
 #[derive(Debug)]
-pub struct BackendBook {
+pub struct BackendRegistry {
     instance: InstanceId,
     zone: ZoneId,
     views: BTreeMap<BackendId, BackendView>,
@@ -30,10 +30,10 @@
     subset: usize,
 }
 
-impl BackendBook {
+impl BackendRegistry {
     /// An empty book of one instance.
     pub fn new(instance: InstanceId, zone: ZoneId) -> Self {
-        BackendBook {
+        BackendRegistry {
             instance,
             zone,
             views: BTreeMap::new(),
--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg32;
 
 use crate::Admission;
-use crate::BackendBook;
+use crate::BackendRegistry;
 use crate::BackendId;
 use crate::BackendServer;
 use crate::Command;
@@ -22,19 +22,19 @@
 use crate::InstanceId;
 use crate::LengthEstimator;
 use crate::Now;
-use crate::ProvenContents;
-use crate::ReaderRota;
+use crate::KnownGoodRequests;
+use crate::ReaderRanking;
 use crate::Refusal;
 use crate::RequestId;
 use crate::RetryBudget;
-use crate::Roster;
+use crate::InstanceList;
 use crate::Router;
 use crate::RoutingPolicy;
 use crate::ServerLimits;
 use crate::SpendVerdict;
 use crate::Suspicions;
 use crate::Ticket;
-use crate::TicketBook;
+use crate::TicketStore;
 use crate::Timeline;
 use crate::TimelineEvent;
 use crate::TimelineRecord;
@@ -86,12 +86,12 @@
 pub struct Control {
     settings: ControlSettings,
     config: ConfigOrder,
-    roster: Roster,
-    rota: ReaderRota,
+    instance_list: InstanceList,
+    rota: ReaderRanking,
     reading: bool,
     next_zone_exchange: Now,
     next_far_exchange: Now,
-    book: BackendBook,
+    book: BackendRegistry,
     router: Router,
     estimator: LengthEstimator,
     queues: HashMap<String, FairQueue>,
@@ -100,13 +100,13 @@
     admission: Admission,
     open: HashSet<RequestId>,
     budget: RetryBudget,
-    tickets: TicketBook,
+    tickets: TicketStore,
     clock: HybridClock,
     wall_ms: u64,
     timeline: Timeline,
     random: Pcg32,
     suspicions: Suspicions,
-    proven: ProvenContents,
+    proven: KnownGoodRequests,
     /// Open requests that have run well for a while.
     proven_requests: HashSet<RequestId>,
     limits: ServerLimits,
@@ -119,12 +119,12 @@
         let zone = settings.zone.clone();
         Control {
             config: ConfigOrder::default(),
-            roster: Roster::default(),
-            rota: ReaderRota::new(instance.clone(), zone.clone()),
+            instance_list: InstanceList::default(),
+            rota: ReaderRanking::new(instance.clone(), zone.clone()),
             reading: false,
             next_zone_exchange: Now::ZERO,
             next_far_exchange: Now::ZERO,
-            book: BackendBook::new(instance.clone(), zone.clone()),
+            book: BackendRegistry::new(instance.clone(), zone.clone()),
             router: Router::new(settings.policy, zone, settings.seed),
             estimator: LengthEstimator::default(),
             queues: HashMap::new(),
@@ -133,7 +133,7 @@
             admission: Admission::default(),
             open: HashSet::new(),
             budget: RetryBudget::default(),
-            tickets: TicketBook::new(
+            tickets: TicketStore::new(
                 instance.clone(),
                 settings.incarnation.clone(),
                 settings.ticket_lifetime,
@@ -144,7 +144,7 @@
             timeline: Timeline::new(instance, settings.timeline_records),
             random: Pcg32::seed_from_u64(settings.seed),
             suspicions: Suspicions::default(),
-            proven: ProvenContents::default(),
+            proven: KnownGoodRequests::default(),
             proven_requests: HashSet::new(),
             limits: ServerLimits::default(),
             settings,
@@ -170,13 +170,13 @@
                 request,
                 engine_failed,
             } => self.attempt_lost(now, &request, engine_failed, &mut commands),
-            Event::ServerEnded {
+            Event::ServerCrashed {
                 backend,
                 fingerprint,
                 ran_for,
             } => self.server_ended(now, &backend, fingerprint, ran_for, &mut commands),
             Event::CallAnswered { fingerprint } => self.ran_well(now, fingerprint),
-            Event::SuspectsHeard { suspects } => self.suspects_heard(now, &suspects),
+            Event::SuspectsReceived { suspects } => self.suspects_heard(now, &suspects),
             Event::Closed { request, workspace } => self.closed(&request, &workspace),
             Event::Report { backend, report } => {
                 self.reported(now, &backend, report);
@@ -184,7 +184,7 @@
             }
             Event::BackendFailed { backend } => self.backend_failed(now, &backend),
             Event::BackendAnswered { backend } => self.backend_answered(now, &backend),
-            Event::Noticed { backend, heard } => self.noticed(now, &backend, &heard),
+            Event::NoticeReceived { backend, heard } => self.noticed(now, &backend, &heard),
             Event::ConfigOffered {
                 version,
                 document,
@@ -194,17 +194,17 @@
             Event::ConfigConfirmed { version, ago } => {
                 self.config.confirm(now.saturating_sub(ago), version);
             }
-            Event::RosterOffered { version, entries } => {
-                self.roster.offer(version, entries);
+            Event::InstanceListOffered { version, entries } => {
+                self.instance_list.offer(version, entries);
             }
-            Event::PeerHeard {
+            Event::PeerMessageReceived {
                 instance,
                 incarnation,
                 config_version,
                 time,
             } => {
                 self.clock.observe(wall_ms, time);
-                self.roster
+                self.instance_list
                     .hear(now, &instance, &incarnation, config_version);
             }
             Event::Note { request, event } => self.note(request, event),
@@ -276,12 +276,12 @@
     }
 
     /// The instance list.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn instance_list(&self) -> &InstanceList {
+        &self.instance_list
     }
 
     /// The backend servers.
-    pub fn book(&self) -> &BackendBook {
+    pub fn book(&self) -> &BackendRegistry {
         &self.book
     }
 
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -8,7 +8,7 @@
 use crate::ConfigVersion;
 use crate::Document;
 use crate::Fingerprint;
-use crate::HeardNotice;
+use crate::ObservedNotice;
 use crate::HybridTime;
 use crate::Incarnation;
 use crate::InstanceEntry;
@@ -17,7 +17,7 @@
 use crate::Now;
 use crate::RequestId;
 use crate::TimelineEvent;
-use crate::ToldSuspect;
+use crate::AdvertisedSuspect;
 use crate::WorkspaceId;
 
 /// A request for an engine, for a first or a further attempt.
@@ -86,7 +86,7 @@
         engine_failed: bool,
     },
     /// A backend server ended under a request.
-    ServerEnded {
+    ServerCrashed {
         /// The backend server.
         backend: BackendId,
         /// What the request consists of.
@@ -100,9 +100,9 @@
         fingerprint: Fingerprint,
     },
     /// A peer told which requests it suspects to end backend servers.
-    SuspectsHeard {
+    SuspectsReceived {
         /// Their contents.
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<AdvertisedSuspect>,
     },
     /// The request is over for its caller.
     Closed {
@@ -124,11 +124,11 @@
         backend: BackendId,
     },
     /// An answer of a backend server said something of it.
-    Noticed {
+    NoticeReceived {
         /// Which.
         backend: BackendId,
         /// What it said.
-        heard: HeardNotice,
+        heard: ObservedNotice,
     },
     /// A backend server answered a call.
     BackendAnswered {
@@ -159,14 +159,14 @@
         ago: Duration,
     },
     /// An instance list was read from the platform or a peer.
-    RosterOffered {
+    InstanceListOffered {
         /// Its version.
         version: u64,
         /// Its lines.
         entries: Vec<InstanceEntry>,
     },
     /// A peer spoke.
-    PeerHeard {
+    PeerMessageReceived {
         /// Its name.
         instance: InstanceId,
         /// Its process life.
--- a/crates/core/src/completion/ticket_book.rs
+++ b/crates/core/src/completion/ticket_book.rs
@@ -42,7 +42,7 @@
 /// a record is proved never to have run. Spending and expiry are judged by the
 /// issuer's monotonic clock alone, so clocks of different machines play no part.
 #[derive(Debug)]
-pub struct TicketBook {
+pub struct TicketStore {
     instance: InstanceId,
     incarnation: Incarnation,
     lifetime: Duration,
@@ -51,7 +51,7 @@
     by_expiry: BTreeMap<u64, Vec<String>>,
 }
 
-impl TicketBook {
+impl TicketStore {
     /// Creates the book of one process life.
     pub fn new(
         instance: InstanceId,
@@ -59,7 +59,7 @@
         lifetime: Duration,
         capacity: usize,
     ) -> Self {
-        TicketBook {
+        TicketStore {
             instance,
             incarnation,
             lifetime,
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -6,8 +6,8 @@
 use super::FleetMembers;
 use super::MemberState;
 use crate::Now;
-use crate::ReadingWaits;
-use crate::directory::reading_waits::SLOT;
+use crate::ReadTiming;
+use crate::directory::read_timing::READ_DELAY_STEP;
 use crate::rendezvous_rank;
 
 /// Readers of the directory per availability zone.
@@ -42,7 +42,7 @@
     /// Returns whether state last confirmed at `confirmed_at` is older than regular reads and
     /// heartbeats allow.
     pub fn is_old(&self, now: Now, confirmed_at: Option<Now>) -> bool {
-        confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).old_after())
+        confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).max_state_age())
     }
 
     /// Returns whether this instance should watch the platform's directory: because of its rank
@@ -54,8 +54,8 @@
             return true;
         };
         if self.is_old(now, Some(confirmed_at)) {
-            let old_after = self.waits(now).old_after();
-            return now.saturating_sub(confirmed_at) >= old_after + self.read_delay(now);
+            let max_state_age = self.waits(now).max_state_age();
+            return now.saturating_sub(confirmed_at) >= max_state_age + self.read_delay(now);
         }
         can_read
             && self.is_reading_zone(now)
@@ -74,8 +74,8 @@
     }
 
     /// Returns the waiting times for updates in this fleet.
-    pub fn waits(&self, now: Now) -> ReadingWaits {
-        ReadingWaits {
+    pub fn waits(&self, now: Now) -> ReadTiming {
+        ReadTiming {
             has_relays: self.has_relays,
             beat: self.base_heartbeat_interval(now),
         }
@@ -86,7 +86,7 @@
     fn read_delay(&self, now: Now) -> Duration {
         let rank = self.rank(&self.zone, now, |_| true);
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        SLOT.saturating_mul(rank).min(self.waits(now).last_slot())
+        READ_DELAY_STEP.saturating_mul(rank).min(self.waits(now).max_read_delay())
     }
 
     fn is_reading_zone(&self, now: Now) -> bool {
--- a/crates/core/src/servers/leaving_marks.rs
+++ b/crates/core/src/servers/leaving_marks.rs
@@ -19,12 +19,12 @@
 
 /// Marks by life, with the time from which on a life is not listed.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingMarks {
+pub struct DrainingMarks {
     unlisted_at: BTreeMap<IncarnationId, Option<Now>>,
     version: u64,
 }
 
-impl LeavingMarks {
+impl DrainingMarks {
     /// Marks a life; returns whether that is news.
     pub fn mark(&mut self, now: Now, life: IncarnationId, is_listed: bool) -> bool {
         let unlisted_at = (!is_listed).then_some(now);
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -19,9 +19,9 @@
 use iristhread_core::CallRun;
 use iristhread_core::CallStep;
 use iristhread_core::Event;
-use iristhread_core::HeardNotice;
 use iristhread_core::InstanceId;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Outcome;
 use iristhread_core::SendResult;
 use iristhread_core::SpendVerdict;
@@ -152,7 +152,7 @@
 
 /// Nobody could run a call: tells when to come back, where that is known.
 async fn no_runner(app: &App, call: &ForwardedCall) -> CallAnswer {
-    match runners_wait(app, &call.service).await {
+    match time_until_runner(app, &call.service).await {
         Some(left) => all_wait(left),
         None => answer_at_end(Outcome::NotRun, CallEnd::NoRunner, None),
     }
@@ -168,7 +168,7 @@
     app.control.ask(ask).await.unwrap_or_default()
 }
 
-async fn runners_wait(app: &App, service: &str) -> Option<Duration> {
+async fn time_until_runner(app: &App, service: &str) -> Option<Duration> {
     let ask = |reply| ControlMessage::RunnersWait {
         service: service.to_owned(),
         reply,
@@ -202,7 +202,7 @@
             app.control.tell(Event::CallAnswered { fingerprint });
         }
         SendResult::Lost if has_ended(runner.address, true).await => {
-            app.control.tell(Event::ServerEnded {
+            app.control.tell(Event::ServerCrashed {
                 backend: runner.name.clone(),
                 fingerprint,
                 ran_for: Duration::ZERO,
@@ -266,10 +266,10 @@
     let notice = reply
         .as_ref()
         .map(|reply| notice_of(reply.status, &reply.headers));
-    let heard = HeardNotice {
+    let heard = ObservedNotice {
         notice: notice.unwrap_or_default(),
         sent_at,
-        tells_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
+        reports_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
     };
     app.noticed(&backend, heard);
     app.control.tell(match reply {
@@ -345,7 +345,7 @@
             instance: instance.clone(),
         },
     );
-    let ask = |reply| ControlMessage::Roster { reply };
+    let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await.unwrap_or_default();
     let mut entries = entries.into_iter();
     let Some(entry) = entries.find(|entry| entry.instance == instance) else {
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -6,12 +6,12 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
 use iristhread_core::AdvertisedLoads;
 use iristhread_core::Arrival;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::FleetMembers;
 use iristhread_core::MemberState;
-use iristhread_core::ToldEvacuations;
 use slog::info;
 use slog::warn;
 use tokio::net::UdpSocket;
@@ -136,7 +136,7 @@
             self.take_news(news.aged(delay), &heartbeat.instance, is_relay);
         }
         if !heartbeat.suspects.is_empty() {
-            self.control.tell(GatewayMessage::SuspectsHeard {
+            self.control.tell(GatewayMessage::SuspectsReceived {
                 suspects: heartbeat.suspects,
             });
         }
@@ -159,7 +159,7 @@
             }
         }
         if follows || heartbeat.digest.is_some() {
-            self.control.tell(GatewayMessage::PeerHeard {
+            self.control.tell(GatewayMessage::PeerMessageReceived {
                 told: AdvertisedLoads {
                     instance: heartbeat.instance,
                     incarnation: heartbeat.incarnation,
@@ -174,7 +174,7 @@
     }
 
     /// Most heartbeats bring nothing new; the decisions are not bothered with those.
-    fn take_evacuations(&self, told: ToldEvacuations, source: &str) {
+    fn take_evacuations(&self, told: AdvertisedEvacuations, source: &str) {
         let is_news = {
             let heard = self.evacuations_heard.lock();
             let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
@@ -184,7 +184,7 @@
         };
         if is_news {
             self.control.tell(GatewayMessage::Evacuations {
-                news: EvacuationNews::Whole(told),
+                news: EvacuationUpdate::Whole(told),
                 source: source.to_owned(),
             });
         }
