--- a/crates/core/src/directory/replica_list.rs
+++ b/crates/core/src/directory/replica_list.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 
 use crate::BackendId;
-use crate::IncarnationId;
 use crate::DrainingMarks;
+use crate::IncarnationId;
 use crate::Now;
 use crate::Replica;
 use crate::Revision;
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -8,7 +8,6 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
-use crate::AdvertisedLoads;
 use crate::BackendId;
 use crate::ServerView;
 use crate::ConfigVersion;
@@ -36,6 +35,7 @@
 use crate::RunEnd;
 use crate::ServerLimits;
 use crate::Suspicions;
+use crate::AdvertisedLoads;
 use crate::ZoneDigest;
 use crate::ZoneEvacuations;
 use crate::own_shares;
@@ -184,7 +184,7 @@
 
     /// Notes what a peer tells of the load of the replicas.
     pub fn apply_peer_load(&mut self, now: Now, told: AdvertisedLoads) {
-        self.peers.apply(now, told);
+        self.peers.hear(now, told);
         self.share_budget();
     }
 
