--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -13,8 +13,8 @@
 use crate::OwnSession;
 use crate::RequestId;
 use crate::RoutingContext;
-use crate::ServerNotice;
 use crate::ServerBackoff;
+use crate::ServerNotice;
 
 /// Lag that reports are taken to have when they arrive.
 const REPORT_LAG: Duration = Duration::from_millis(300);
--- a/crates/core/src/completion/router.rs
+++ b/crates/core/src/completion/router.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::BackendRegistry;
 use crate::BackendId;
+use crate::BackendRegistry;
 use crate::BackendView;
 use crate::LengthEstimator;
 use crate::Now;
@@ -138,7 +138,11 @@
         }
     }
 
-    pub(crate) fn choose(&mut self, book: &BackendRegistry, context: &RoutingContext<'_>) -> Choice {
+    pub(crate) fn choose(
+        &mut self,
+        book: &BackendRegistry,
+        context: &RoutingContext<'_>,
+    ) -> Choice {
         let mut candidates = Vec::new();
         let mut best: Option<(f64, BackendId)> = None;
         let mut may_wait = false;
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -8,21 +8,21 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
 
+use crate::AdvertisedLoads;
 use crate::BackendId;
-use crate::ServerView;
 use crate::ConfigVersion;
 use crate::EvacuationChange;
 use crate::FailureBackoff;
 use crate::GatewayConfig;
 use crate::GatewayParameters;
 use crate::InstanceId;
+use crate::KnownGoodRequests;
 use crate::LoadShares;
 use crate::Moving;
 use crate::Now;
 use crate::OwnRun;
 use crate::PeerLoads;
 use crate::PlacementRequest;
-use crate::KnownGoodRequests;
 use crate::Ranking;
 use crate::Refusal;
 use crate::RefusalKind;
@@ -34,8 +34,8 @@
 use crate::RouteTable;
 use crate::RunEnd;
 use crate::ServerLimits;
+use crate::ServerView;
 use crate::Suspicions;
-use crate::AdvertisedLoads;
 use crate::ZoneDigest;
 use crate::ZoneEvacuations;
 use crate::own_shares;
@@ -184,7 +184,7 @@
 
     /// Notes what a peer tells of the load of the replicas.
     pub fn apply_peer_load(&mut self, now: Now, told: AdvertisedLoads) {
-        self.peers.hear(now, told);
+        self.peers.apply(now, told);
         self.share_budget();
     }
 
--- a/crates/core/src/gateway/gateway_control/ranking.rs
+++ b/crates/core/src/gateway/gateway_control/ranking.rs
@@ -98,7 +98,7 @@
                 ask,
                 cold_for: self.list.cold_for(now, &replica.id),
                 noise: f64::from(self.random.next_u32()) / f64::from(u32::MAX),
-                by_relays: self.peers.by_relays(),
+                by_relays: self.peers.uses_relays(),
             };
             let mut load: LoadShare = own.get(&replica.id).copied().unwrap_or_default();
             load.add(&self.peers.on(&replica.id));
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -86,7 +86,9 @@
     fn read_delay(&self, now: Now) -> Duration {
         let rank = self.rank(&self.zone, now, |_| true);
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        READ_DELAY_STEP.saturating_mul(rank).min(self.waits(now).max_read_delay())
+        READ_DELAY_STEP
+            .saturating_mul(rank)
+            .min(self.waits(now).max_read_delay())
     }
 
     fn is_reading_zone(&self, now: Now) -> bool {
--- a/crates/core/tests/config_scene/instance.rs
+++ b/crates/core/tests/config_scene/instance.rs
@@ -271,7 +271,7 @@
         let is_ahead = self.members.is_ahead_in_config(now, self.version);
         self.lag.note(now, is_ahead);
         let is_stuck = self.lag.is_overdue(now, &self.members.waits(now));
-        let for_others = is_ahead && self.members.relays(now);
+        let for_others = is_ahead && self.members.is_relay(now);
         is_stuck || for_others || self.members.reads(now, confirmed_at, self.can_read)
     }
 
@@ -316,7 +316,7 @@
                 sent.push((number(to), beat.clone()));
             }
             beat.pass_on = true;
-            for to in fan_out.relay.iter().chain(&fan_out.far) {
+            for to in fan_out.relay.iter().chain(&fan_out.remote_relays) {
                 sent.push((number(to), beat.clone()));
             }
             if fan_out.forwards_to_zone {
@@ -371,7 +371,7 @@
             .config_age
             .map(|age| FleetMembers::confirmed_at(now, age));
         let is_ahead = state.config_version > self.version;
-        let arrival = self.members.hear(now, beat.address, state);
+        let arrival = self.members.apply_heartbeat(now, beat.address, state);
         if arrival == Arrival::Old {
             return;
         }
--- a/crates/core/tests/gateway_readers.rs
+++ b/crates/core/tests/gateway_readers.rs
@@ -35,7 +35,7 @@
         let mut fleet = members(own as u8 + 1);
         for other in (0..5).filter(|other| *other != own && *other != reader) {
             let number = other as u8 + 1;
-            fleet.hear(now, address(number), state(number, "z1", Some(now)));
+            fleet.apply_heartbeat(now, address(number), state(number, "z1", Some(now)));
         }
         readers += u32::from(fleet.reads(now, Some(now), true));
     }
@@ -72,7 +72,7 @@
         for members in &mut fleet {
             let mut with_relays = state(21, "z2", None);
             with_relays.has_relays = true;
-            members.hear(now, address(21), with_relays);
+            members.apply_heartbeat(now, address(21), with_relays);
         }
         let reads = |own: &usize| fleet[*own].reads_list(now, Some(ms(1_000)), could_read);
         let readers: Vec<usize> = (0..fleet.len()).filter(reads).collect();
@@ -91,7 +91,7 @@
         for other in [2, 3] {
             let mut cut_off = state(other, "z1", Some(ms(1_000)));
             cut_off.can_read = false;
-            fleet.hear(now, address(other), cut_off);
+            fleet.apply_heartbeat(now, address(other), cut_off);
         }
         let reads = fleet.reads(now, Some(ms(1_000)), true);
         assert!(reads, "at second {second} it is the turn of others");
--- a/crates/core/tests/gateway_scene/fleet.rs
+++ b/crates/core/tests/gateway_scene/fleet.rs
@@ -45,7 +45,7 @@
         .map(|own| {
             let mut fleet = members(own);
             for other in (1..=count).filter(|other| *other != own) {
-                fleet.hear(now, address(other), state(other, "z1", Some(now)));
+                fleet.apply_heartbeat(now, address(other), state(other, "z1", Some(now)));
             }
             fleet
         })
--- a/crates/daemon/src/peers/fleet_link.rs
+++ b/crates/daemon/src/peers/fleet_link.rs
@@ -210,12 +210,12 @@
 
     async fn send(&self, socket: &UdpSocket, own: OwnState, sequence: u64, fan_out: FanOut) {
         let mut heartbeat = self.heartbeat(own, sequence);
-        if !fan_out.far.is_empty() {
+        if !fan_out.remote_relays.is_empty() {
             let mut far = heartbeat.clone();
             // Whoever hears both takes both, the sums last.
             far.sequence += 1;
             far.news = self.knowledge().news_for_far(self.clock.now());
-            self.send_one(socket, self.seal(&far), true, &fan_out.far)
+            self.send_one(socket, self.seal(&far), true, &fan_out.remote_relays)
                 .await;
         }
         heartbeat.digest = None;
--- a/crates/daemon/src/peers/fleet_link/duty.rs
+++ b/crates/daemon/src/peers/fleet_link/duty.rs
@@ -70,7 +70,7 @@
         let members = self.members();
         let heard = members.list_confirmed_at(now, list_revision);
         let confirmed_at = self.knowledge().list_confirmed_at().max(heard);
-        members.is_lost(now, confirmed_at)
+        members.is_stale(now, confirmed_at)
     }
 
     /// Whether this instance should watch the platform's configuration: as for
@@ -88,7 +88,7 @@
             (now >= self.config_from).then_some(ReadingReason::First)
         } else if is_stuck {
             Some(ReadingReason::Behind)
-        } else if is_ahead && members.relays(now) {
+        } else if is_ahead && members.is_relay(now) {
             Some(ReadingReason::Relay)
         } else if members.reads(now, confirmed_at, knowledge.can_read()) {
             Some(match members.is_old(now, confirmed_at) {
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -109,7 +109,7 @@
             can_read: heartbeat.can_read,
         };
         let mut members = self.members();
-        let arrival = members.hear(now, heartbeat.address, state);
+        let arrival = members.apply_heartbeat(now, heartbeat.address, state);
         if arrival == Arrival::Old {
             return false;
         }
@@ -121,8 +121,8 @@
             members.queue_immediate_heartbeat(heartbeat.address);
             self.beat_now.notify_one();
         }
-        let follows = members.follows(&heartbeat.zone);
-        let is_relay = !heartbeat.news.is_empty() && members.relays(now);
+        let follows = members.counts_individually(&heartbeat.zone);
+        let is_relay = !heartbeat.news.is_empty() && members.is_relay(now);
         let delay = members.heartbeat_delay(heartbeat.address);
         drop(members);
         // Contacts with instances that are usually not heard would be hundreds of lines.
