--- a/crates/core/src/membership/fleet_members.rs
+++ b/crates/core/src/membership/fleet_members.rs
@@ -1,4 +1,4 @@
-//! The other instances, as their heartbeats tell.
+//! The other instances of the fleet, as known from their heartbeats.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,87 +21,86 @@
 
 pub use fan_out::FanOut;
 
-use fan_out::RELAY_BEAT;
+use fan_out::RELAY_HEARTBEAT_INTERVAL;
 
-/// Shortest time between two heartbeats: news and loads are at most this old
-/// in a small fleet.
-const SHORTEST_BEAT: Duration = Duration::from_millis(200);
+/// Minimum time between two heartbeats: updates and loads are at most this old in a small fleet.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between two heartbeats per instance that hears them, so that what an
-/// instance receives grows no further.
-const BEAT_PER_MEMBER: Duration = Duration::from_millis(12);
+/// Time between two heartbeats for each instance that receives them, so that the message rate at an
+/// instance stays bounded as the fleet grows.
+const HEARTBEAT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(12);
 
-/// Longest time between two heartbeats: what an instance tells counts for 3 s,
-/// and two in a row may be lost.
-const LONGEST_BEAT: Duration = Duration::from_secs(1);
+/// Maximum time between two heartbeats: advertised loads stay valid for 3 s, and two heartbeats in
+/// a row may be lost.
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Silence after which an instance counts as gone, in heartbeats.
-const SILENT_BEATS: u32 = 6;
+/// Silence after which an instance counts as stopped, in heartbeat intervals.
+const SILENT_HEARTBEATS: u32 = 6;
 
-/// Shortest silence after which an instance counts as gone.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(1_500);
+/// Minimum silence after which an instance counts as stopped.
+const MIN_SILENCE: Duration = Duration::from_millis(1_500);
 
-/// How long an instance that fell silent is still sent heartbeats, less often:
-/// longer than most cuts last.
-const REMEMBERED: Duration = Duration::from_secs(120);
+/// How long heartbeats are still sent, less often, to an instance that fell silent: longer than
+/// most network partitions last.
+const SILENT_RETENTION: Duration = Duration::from_secs(120);
 
-/// Added to the age of what a peer says was confirmed: the way of a heartbeat and
-/// the wait at both ends and at a relay. Without it, each instance that passes the age on
-/// would make it younger, and few would see an outage.
-const HEARTBEAT_WAY: Duration = Duration::from_millis(100);
+/// Added to the age of a confirmation that a peer reports: the transit time of a heartbeat plus the
+/// waits at both ends and at a relay. Without it, the age would shrink with each instance that
+/// passes it on, and few would notice an outage.
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
-/// What an instance says of itself with each heartbeat.
+/// State that an instance reports of itself with each heartbeat.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberState {
-    /// The instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its process life.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Number of the message within that life.
+    /// Sequence number of the message within that incarnation.
     pub sequence: u64,
-    /// Time on its own clock at which it said this.
-    pub said_at: Now,
+    /// Send time on its own clock.
+    pub sent_at: Now,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Thousandths of a processor core that it has.
+    /// Processor capacity in thousandths of a core.
     pub core_millis: u32,
-    /// Whether it tells the others by way of relays.
+    /// Whether it advertises to the others through relays.
     pub has_relays: bool,
     /// Version of the configuration in force there, 0 for none.
     pub config_version: ConfigVersion,
-    /// When the platform confirmed that configuration, on the receiver's clock, if this came
-    /// by the usual way.
+    /// When the platform confirmed that configuration, on the receiver's clock, assuming the normal
+    /// transit time.
     pub config_confirmed_at: Option<Now>,
     /// Revision of its list of backend servers.
     pub list_revision: Revision,
-    /// The same for that list.
+    /// When the platform confirmed that list, on the same terms.
     pub list_confirmed_at: Option<Now>,
-    /// Whether it could read the platform when it tried last.
+    /// Whether its last read from the platform succeeded.
     pub can_read: bool,
 }
 
 #[derive(Debug)]
-struct Heard {
+struct LastHeartbeat {
     state: MemberState,
     order: MessageOrder,
     delay: DelayEstimate,
-    /// How much longer than usual the last one took.
-    took: Duration,
+    /// Time that the last heartbeat took beyond the normal transit time.
+    delay_excess: Duration,
 }
 
 #[derive(Debug)]
 struct Member {
-    heard: Option<Heard>,
-    heard_at: Now,
+    last_heartbeat: Option<LastHeartbeat>,
+    received_at: Now,
 }
 
 impl Member {
     fn state(&self) -> Option<&MemberState> {
-        self.heard.as_ref().map(|heard| &heard.state)
+        self.last_heartbeat.as_ref().map(|last| &last.state)
     }
 }
 
-/// The members of the fleet as one instance knows them.
+/// Members of the fleet as one instance knows them.
 #[derive(Debug)]
 pub struct FleetMembers {
     instance: InstanceId,
@@ -110,13 +109,13 @@
     own_address: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
     members: BTreeMap<SocketAddr, Member>,
-    to_greet: BTreeSet<SocketAddr>,
+    immediate_targets: BTreeSet<SocketAddr>,
     has_relays: bool,
-    beats: u64,
+    heartbeat_count: u64,
 }
 
 impl FleetMembers {
-    /// Knows the seeds only.
+    /// Creates a view that holds only the seed peers.
     pub fn new(
         instance: InstanceId,
         zone: ZoneId,
@@ -132,98 +131,105 @@
             own_address,
             seeds: seeds.collect(),
             members: BTreeMap::new(),
-            to_greet: BTreeSet::new(),
+            immediate_targets: BTreeSet::new(),
             has_relays: false,
-            beats: 0,
+            heartbeat_count: 0,
         }
     }
 
-    /// Notes a heartbeat, and says what it is to those before. One that is old
-    /// changes nothing; one that lay waiting speaks of the time at which it was said.
-    pub fn hear(&mut self, now: Now, address: SocketAddr, mut state: MemberState) -> Arrival {
+    /// Applies a heartbeat and returns its position relative to earlier ones. An old heartbeat is
+    /// ignored. The times of a delayed heartbeat are moved back by its delay.
+    pub fn apply_heartbeat(
+        &mut self,
+        now: Now,
+        address: SocketAddr,
+        mut state: MemberState,
+    ) -> Arrival {
         self.has_relays |= state.has_relays;
         let member = self.members.entry(address).or_insert(Member {
-            heard: None,
-            heard_at: now,
+            last_heartbeat: None,
+            received_at: now,
         });
-        let Some(heard) = &mut member.heard else {
+        let Some(last) = &mut member.last_heartbeat else {
             let order = MessageOrder::new(state.incarnation.clone(), state.sequence);
-            let delay = DelayEstimate::new(state.said_at, now);
-            member.heard = Some(Heard {
+            let delay = DelayEstimate::new(state.sent_at, now);
+            member.last_heartbeat = Some(LastHeartbeat {
                 state,
                 order,
                 delay,
-                took: Duration::ZERO,
+                delay_excess: Duration::ZERO,
             });
-            member.heard_at = now;
-            return Arrival::FirstOfLife;
+            member.received_at = now;
+            return Arrival::FirstOfIncarnation;
         };
-        let arrival = heard.order.arrive(&state.incarnation, state.sequence);
-        heard.took = match arrival {
+        let arrival = last.order.arrive(&state.incarnation, state.sequence);
+        last.delay_excess = match arrival {
             Arrival::Old => return arrival,
-            Arrival::Newer => heard.delay.delay(state.said_at, now),
-            Arrival::FirstOfLife => {
-                heard.delay = DelayEstimate::new(state.said_at, now);
+            Arrival::Newer => last.delay.delay(state.sent_at, now),
+            Arrival::FirstOfIncarnation => {
+                last.delay = DelayEstimate::new(state.sent_at, now);
                 Duration::ZERO
             }
         };
-        let took = heard.took;
-        let earlier = |at: Now| at.saturating_sub(took);
+        let delay_excess = last.delay_excess;
+        let earlier = |at: Now| at.saturating_sub(delay_excess);
         state.config_confirmed_at = state.config_confirmed_at.map(earlier);
         state.list_confirmed_at = state.list_confirmed_at.map(earlier);
-        heard.state = state;
-        member.heard_at = member.heard_at.max(earlier(now));
+        last.state = state;
+        member.received_at = member.received_at.max(earlier(now));
         arrival
     }
 
-    /// How much longer than usual the last heartbeat of an instance took.
-    pub fn delay_of(&self, address: SocketAddr) -> Duration {
+    /// Returns the time that the last heartbeat of an instance took beyond the normal transit time.
+    pub fn heartbeat_delay(&self, address: SocketAddr) -> Duration {
         let member = self.members.get(&address);
-        let heard = member.and_then(|member| member.heard.as_ref());
-        heard.map_or(Duration::ZERO, |heard| heard.took)
+        let last = member.and_then(|member| member.last_heartbeat.as_ref());
+        last.map_or(Duration::ZERO, |last| last.delay_excess)
     }
 
-    /// Notes that somebody knows an instance at an address.
-    pub fn hear_of(&mut self, now: Now, address: SocketAddr) {
+    /// Records the address of an instance that a peer advertises; no heartbeat from there is known
+    /// yet.
+    pub fn learn_address(&mut self, now: Now, address: SocketAddr) {
         if address != self.own_address {
-            let unheard = Member {
-                heard: None,
-                heard_at: now,
+            let unconfirmed = Member {
+                last_heartbeat: None,
+                received_at: now,
             };
-            self.members.entry(address).or_insert(unheard);
+            self.members.entry(address).or_insert(unconfirmed);
         }
     }
 
-    /// Notes that an instance which came to this one by itself knows few others:
-    /// the next heartbeat goes there, too.
-    pub fn greet(&mut self, address: SocketAddr) {
-        self.to_greet.insert(address);
+    /// Adds an instance to the targets of the next heartbeat. Used for an instance that made
+    /// contact by itself, as it knows few others.
+    pub fn queue_immediate_heartbeat(&mut self, address: SocketAddr) {
+        self.immediate_targets.insert(address);
     }
 
-    /// Time until the next heartbeat.
-    pub fn beat_interval(&self, now: Now) -> Duration {
-        match self.is_candidate(now) {
-            true => RELAY_BEAT,
-            false => self.usual_interval(now),
+    /// Returns the time until the next heartbeat.
+    pub fn heartbeat_interval(&self, now: Now) -> Duration {
+        match self.is_relay_candidate(now) {
+            true => RELAY_HEARTBEAT_INTERVAL,
+            false => self.base_heartbeat_interval(now),
         }
     }
 
-    /// Time between the heartbeats of most instances.
-    fn usual_interval(&self, now: Now) -> Duration {
-        let hearing = match self.has_relays {
+    /// Returns the time between heartbeats of an instance that is no relay candidate.
+    fn base_heartbeat_interval(&self, now: Now) -> Duration {
+        let receivers = match self.has_relays {
             true => self.neighbours(now).len(),
             false => self.members.len(),
         };
-        let hearing = u32::try_from(hearing).unwrap_or(u32::MAX);
-        (BEAT_PER_MEMBER * hearing).clamp(SHORTEST_BEAT, LONGEST_BEAT)
+        let receivers = u32::try_from(receivers).unwrap_or(u32::MAX);
+        (HEARTBEAT_INTERVAL_PER_MEMBER * receivers)
+            .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
     }
 
-    /// When something was confirmed of which a heartbeat tells the age.
+    /// Returns the time of a confirmation whose age a heartbeat reports.
     pub fn confirmed_at(now: Now, age: Duration) -> Now {
-        now.saturating_sub(age + HEARTBEAT_WAY)
+        now.saturating_sub(age + HEARTBEAT_TRANSIT)
     }
 
-    /// Live instances that have a newer configuration or list.
+    /// Returns the live instances with a newer configuration or list.
     pub fn ahead(
         &self,
         now: Now,
@@ -238,8 +244,9 @@
         states.filter(|(_, state)| is_ahead(state)).collect()
     }
 
-    /// Who to ask for a newer configuration or list: in a small fleet any that has
-    /// it, in a larger one the strongest of this zone, or of all if none has it here.
+    /// Returns the instances from which to fetch a newer configuration or list. In a small fleet
+    /// any instance that has it; in a larger one those with the most processor capacity in this
+    /// zone, or in all zones if none in this zone has it.
     pub fn sources(
         &self,
         now: Now,
@@ -258,23 +265,25 @@
         ahead
     }
 
-    /// When the platform confirmed this revision of the list or a later one, to
-    /// anyone's knowledge.
+    /// Returns the latest time at which the platform confirmed this revision of the list, as far as
+    /// any live instance knows. Confirmations of earlier revisions count too: what was current then
+    /// is not newer than this revision.
     pub fn list_confirmed_at(&self, now: Now, list_revision: Revision) -> Option<Now> {
         let states = self.live_states(now);
         let same = states.filter(|state| state.list_revision <= list_revision);
         same.filter_map(|state| state.list_confirmed_at).max()
     }
 
-    /// When the platform confirmed this version of the configuration or a later
-    /// one, to anyone's knowledge.
+    /// Returns the latest time at which the platform confirmed this version of the configuration,
+    /// as far as any live instance knows. Confirmations of earlier versions count too: what was
+    /// current then is not newer than this version.
     pub fn config_confirmed_at(&self, now: Now, version: ConfigVersion) -> Option<Now> {
         let states = self.live_states(now);
         let same = states.filter(|state| state.config_version <= version);
         same.filter_map(|state| state.config_confirmed_at).max()
     }
 
-    /// The newest that any live instance has of each.
+    /// Returns the newest configuration version and the newest list revision of all live instances.
     pub fn newest(&self, now: Now) -> KnownVersions {
         let states = || self.live_states(now);
         KnownVersions {
@@ -289,7 +298,7 @@
         }
     }
 
-    /// Whether a live instance has a newer configuration.
+    /// Returns whether a live instance has a newer configuration.
     pub fn is_ahead_in_config(&self, now: Now, version: ConfigVersion) -> bool {
         self.live_states(now)
             .any(|state| state.config_version > version)
@@ -301,13 +310,13 @@
 
     fn live(&self, now: Now) -> impl Iterator<Item = (SocketAddr, &Member)> {
         let silence = self.longest_silence(now);
-        let is_live = move |member: &Member| now.saturating_sub(member.heard_at) < silence;
+        let is_live = move |member: &Member| now.saturating_sub(member.received_at) < silence;
         let live = self.members.iter().filter(move |(_, m)| is_live(m));
         live.map(|(address, member)| (*address, member))
     }
 
-    /// Silence after which an instance counts as gone.
+    /// Returns the silence after which an instance counts as stopped.
     fn longest_silence(&self, now: Now) -> Duration {
-        SHORTEST_SILENCE.max(self.usual_interval(now) * SILENT_BEATS)
+        MIN_SILENCE.max(self.base_heartbeat_interval(now) * SILENT_HEARTBEATS)
     }
 }
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -1,5 +1,5 @@
-//! The list of backend servers over outages, the members of the fleet, and the
-//! retry budget that they share.
+//! Tests of the list of backend servers during outages, of the fleet members and of the shared
+//! retry budget.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -33,17 +33,17 @@
 }
 
 #[test]
-fn a_removed_entry_is_gone_at_once() {
+fn a_removed_entry_disappears_at_once() {
     let mut list = list();
     list.change(ms(0), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
     assert_eq!(list.state("e1"), ListedState::Removed);
 }
 
-/// The grace counts from the end of the outage, not from the removal: a server
-/// that leaves in good order soon after an outage gets nothing new for longer
-/// than the users allow otherwise (hunt-e87f-3 of cmuca-cotacao).
-#[test_case(5_010, ListedState::Lapsed; "at the end of the outage")]
-#[test_case(6_990, ListedState::Lapsed; "within two seconds")]
+/// The grace period starts at the end of the outage, not at the removal. Otherwise a server that
+/// drains in good order soon after an outage would get no new requests for longer than the users
+/// allow (hunt-e87f-3 of cmuca-cotacao).
+#[test_case(5_010, ListedState::Expired; "at the end of the outage")]
+#[test_case(6_990, ListedState::Expired; "within two seconds")]
 #[test_case(7_010, ListedState::Removed; "later")]
 fn an_entry_that_is_removed_after_an_outage(at_ms: u64, expected: ListedState) {
     let mut list = list();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_lapsed_entry_counts_as_serving_for_no_longer_than_the_grace() {
+fn an_expired_entry_serves_no_longer_than_the_grace_period() {
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.change(ms(5_500), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
@@ -72,7 +72,7 @@
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.snapshot(ms(5_010), 12, Vec::new());
-    assert_eq!(list.state("e1"), ListedState::Lapsed);
+    assert_eq!(list.state("e1"), ListedState::Expired);
     list.change(
         ms(6_500),
         13,
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_leaving_server_does_not_come_back_by_an_outage() {
+fn an_outage_does_not_bring_back_a_draining_server() {
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.snapshot(ms(5_010), 12, vec![engine("e1", "z1")]);
@@ -96,25 +96,25 @@
     list.outage_ended(ms(5_000));
     list.outage_ended(ms(3_000));
     list.change(ms(6_000), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
-    assert_eq!(list.state("e1"), ListedState::Lapsed);
+    assert_eq!(list.state("e1"), ListedState::Expired);
 }
 
-/// An instance that fetches the list from a peer must not take a lapsed entry
-/// for a listed one: nobody would ever remove it.
+/// An instance that fetches the list from a peer must not treat an expired entry as a listed one,
+/// as nothing would ever remove it.
 #[test]
-fn a_lapsed_entry_lapses_also_where_the_list_was_fetched() {
+fn an_expired_entry_stays_expired_where_the_list_is_fetched() {
     let mut source = list();
     source.outage_ended(ms(5_000));
     source.snapshot(ms(5_100), 12, Vec::new());
     let mut fetched = list();
     fetched.hear(ms(5_300), source.told(ms(5_300)));
-    assert_eq!(fetched.state("e1"), ListedState::Lapsed);
+    assert_eq!(fetched.state("e1"), ListedState::Expired);
     fetched.expire(ms(7_000));
     assert_eq!(fetched.state("e1"), ListedState::Removed);
 }
 
 #[test]
-fn an_outage_long_ago_is_not_told() {
+fn an_outage_long_ago_is_not_advertised() {
     let mut source = list();
     source.outage_ended(ms(5_000));
     assert_eq!(source.told(ms(6_990)).outage_ended_ms, Some(1_990));
@@ -122,31 +122,31 @@
 }
 
 #[test]
-fn older_news_change_nothing() {
+fn older_updates_are_ignored() {
     let mut list = list();
     assert!(!list.change(ms(0), 10, vec![ReplicaChange::Removed("e1".to_owned())]));
     assert!(!list.snapshot(ms(0), 9, Vec::new()));
     assert_eq!(list.state("e1"), ListedState::Serving);
 }
 
-/// Instances that pass on how old something is, one after the other: with 5 ms
-/// from one to the next it seemed 4.7 s old after 8 s.
+/// Guards against an age that shrinks as instances pass it on to each other: with a transit time of
+/// 5 ms from one to the next, state that was 8 s old seemed 4.7 s old.
 #[test]
-fn an_age_that_is_passed_on_never_gets_younger() {
+fn a_forwarded_age_never_shrinks() {
     let (way, between) = (ms(5), ms(12));
     let mut now = ms(1_000);
-    let mut told_age = Duration::ZERO;
+    let mut advertised_age = Duration::ZERO;
     let outage_ends = now + Duration::from_secs(8);
     while now < outage_ends {
-        // Told now, heard a little later, and told again.
-        let heard_at = now + way;
-        let confirmed_at = FleetMembers::confirmed_at(heard_at, told_age);
+        // Advertised, received a little later, and advertised again.
+        let received_at = now + way;
+        let confirmed_at = FleetMembers::confirmed_at(received_at, advertised_age);
         now += between;
-        told_age = now.saturating_sub(confirmed_at);
+        advertised_age = now.saturating_sub(confirmed_at);
     }
     assert!(
-        told_age >= Duration::from_secs(8),
-        "it seems {told_age:?} old"
+        advertised_age >= Duration::from_secs(8),
+        "it seems {advertised_age:?} old"
     );
 }
 
@@ -155,8 +155,8 @@
     let mut random = Pcg32::seed_from_u64(1);
     let mut fleet = members(2);
     assert_eq!(fleet.fan_out(ms(0), &mut random).direct, [address(1)]);
-    fleet.hear_of(ms(0), address(7));
-    fleet.hear_of(ms(0), address(2));
+    fleet.learn_address(ms(0), address(7));
+    fleet.learn_address(ms(0), address(2));
     let mut targets = fleet.fan_out(ms(0), &mut random).direct;
     targets.sort();
     assert_eq!(targets, [address(1), address(7)], "never to itself");
@@ -166,7 +166,7 @@
 fn a_silent_instance_is_sent_fewer_heartbeats_and_then_none() {
     let mut random = Pcg32::seed_from_u64(1);
     let mut fleet = members(1);
-    fleet.hear(ms(0), address(2), state(2, "z1", None));
+    fleet.apply_heartbeat(ms(0), address(2), state(2, "z1", None));
     let sent = |fleet: &mut FleetMembers, random: &mut Pcg32, at: Now| {
         (0..10)
             .filter(|_| !fleet.fan_out(at, random).direct.is_empty())
@@ -186,22 +186,22 @@
     for number in 2..=count {
         let mut stronger = state(number, "z1", None);
         stronger.core_millis = 500;
-        fleet.hear(ms(0), address(number), stronger);
+        fleet.apply_heartbeat(ms(0), address(number), stronger);
     }
     let mut random = Pcg32::seed_from_u64(1);
     let fan_out = fleet.fan_out(ms(0), &mut random);
-    assert_eq!(fleet.beat_interval(ms(0)), ms(expected_ms));
+    assert_eq!(fleet.heartbeat_interval(ms(0)), ms(expected_ms));
     let targets = fan_out.direct.len() + usize::from(fan_out.relay.is_some());
     assert!(targets <= 31, "{targets} targets");
 }
 
 #[test]
-fn a_peer_that_is_ahead_is_named() {
+fn a_peer_that_is_ahead_is_listed() {
     let mut fleet = members(1);
     let mut newer = state(2, "z1", None);
     newer.config_version = 5;
-    fleet.hear(ms(0), address(2), newer);
-    fleet.hear(ms(0), address(3), state(3, "z1", None));
+    fleet.apply_heartbeat(ms(0), address(2), newer);
+    fleet.apply_heartbeat(ms(0), address(3), state(3, "z1", None));
     let ahead = fleet.ahead(ms(0), 1, 1.into());
     assert_eq!(ahead.len(), 1);
     assert_eq!(ahead[0].1.instance, "i2");
@@ -213,8 +213,8 @@
     let mut fleet = members(1);
     let mut newer = state(2, "z1", Some(ms(900)));
     newer.config_version = 5;
-    fleet.hear(ms(1_000), address(2), newer);
-    fleet.hear(ms(1_000), address(3), state(3, "z1", Some(ms(400))));
+    fleet.apply_heartbeat(ms(1_000), address(2), newer);
+    fleet.apply_heartbeat(ms(1_000), address(3), state(3, "z1", Some(ms(400))));
     assert_eq!(fleet.config_confirmed_at(ms(1_000), 1), Some(ms(400)));
     assert_eq!(fleet.config_confirmed_at(ms(1_000), 5), Some(ms(900)));
     assert!(fleet.is_ahead_in_config(ms(1_000), 1));
@@ -225,7 +225,7 @@
     );
 }
 
-/// Further sends of all instances together stay within the ratio and the extra.
+/// Retries of all instances together stay within the ratio plus the extra.
 #[test]
 fn the_fleet_shares_one_retry_budget() {
     let mut granted = 0;
@@ -233,7 +233,7 @@
         let mut control = control_with(&["e1", "e2", "e3"]);
         for other in (0..3).filter(|other| *other != number) {
             let name = format!("i{other}");
-            control.hear_peer(ms(0), told(&name, 1, BTreeMap::new()));
+            control.apply_peer_load(ms(0), told(&name, 1, BTreeMap::new()));
         }
         for request in 0..20 {
             let request = format!("r{request}");
@@ -251,17 +251,17 @@
     assert!(granted >= 6, "{granted} further sends");
 }
 
-/// A small instance that hands a large configuration to many is slow and may run out
-/// of memory.
+/// Guards against fetching from a small instance: one that hands a large configuration to many
+/// peers is slow and may run out of memory.
 #[test]
-fn a_large_fleet_fetches_from_the_strong_ones_of_its_zone() {
+fn a_large_fleet_fetches_from_the_strongest_instances_of_the_zone() {
     let mut fleet = members(1);
     for number in 2..=40 {
         let zone = if number % 2 == 0 { "z1" } else { "z2" };
         let mut ahead = state(number, zone, None);
         ahead.config_version = 5;
         ahead.core_millis = if number % 10 < 2 { 500 } else { 120 };
-        fleet.hear(ms(0), address(number), ahead);
+        fleet.apply_heartbeat(ms(0), address(number), ahead);
     }
     let names = |fleet: &FleetMembers| {
         let sources = fleet.sources(ms(0), 1, 1.into());
@@ -273,11 +273,14 @@
     assert_eq!(names(&fleet), ["i10", "i20", "i30", "i40"]);
 }
 
-/// Other zones hear of choices soon, and bytes don't grow with the engines.
+/// Other zones receive placements soon, and the bytes sent do not grow with the number of engines.
 #[test_case(0, 100; "none yet")]
 #[test_case(60, 100; "sixty engines")]
 #[test_case(133, 133; "a large fleet of today")]
 #[test_case(3_000, 300; "three thousand")]
-fn a_relay_tells_other_zones_as_often_as_its_sums_allow(sums: usize, expected_ms: u64) {
-    assert_eq!(FleetMembers::relay_interval(sums), ms(expected_ms));
+fn the_interval_of_a_relay_grows_with_its_sums(sums: usize, expected_ms: u64) {
+    assert_eq!(
+        FleetMembers::relay_heartbeat_interval(sums),
+        ms(expected_ms)
+    );
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Configuration order, readers, peers' messages: decisions of membership.
+//! Tests of membership decisions: configuration order, selection of readers, peer messages.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeSet;
@@ -14,14 +14,14 @@
 use iristhread_core::HybridClock;
 use iristhread_core::HybridTime;
 use iristhread_core::InstanceEntry;
+use iristhread_core::InstanceList;
 use iristhread_core::InstanceState;
 use iristhread_core::Keyring;
 use iristhread_core::Offer;
 use iristhread_core::OfferVerdict;
 use iristhread_core::PeerGuard;
 use iristhread_core::PeerRejection;
-use iristhread_core::ReaderRota;
-use iristhread_core::Roster;
+use iristhread_core::ReaderRanking;
 use iristhread_core::RoutingPolicy;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -54,17 +54,17 @@
     }
 }
 
-fn roster(size: usize) -> Roster {
-    let mut roster = Roster::default();
-    roster.offer(1, (0..size).map(entry).collect());
-    roster
+fn instance_list(size: usize) -> InstanceList {
+    let mut instance_list = InstanceList::default();
+    instance_list.offer(1, (0..size).map(entry).collect());
+    instance_list
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever order: the version in force only grows, and
-    /// no refused document is ever in force.
+    /// For any order of offers, the version in force never decreases, and a refused document is
+    /// never in force.
     #[test]
     fn the_version_in_force_never_reverts(offers in prop::collection::vec((1_u64..30, any::<bool>()), 0..60)) {
         let mut order = ConfigOrder::default();
@@ -79,13 +79,13 @@
         }
     }
 
-    /// A roster from a stale replica changes nothing.
+    /// An instance list from a stale replica is ignored.
     #[test]
     fn an_older_list_is_ignored(versions in prop::collection::vec(1_u64..20, 1..40)) {
-        let mut roster = Roster::default();
+        let mut instance_list = InstanceList::default();
         for version in versions {
-            let before = roster.version();
-            let taken = roster.offer(version, vec![entry(version as usize)]);
+            let before = instance_list.version();
+            let taken = instance_list.offer(version, vec![entry(version as usize)]);
             prop_assert_eq!(taken, version > before);
         }
     }
@@ -95,31 +95,32 @@
 #[test_case(3, 0, 2; "three")]
 #[test_case(9, 0, 2; "nine")]
 #[test_case(270, 0, 2; "the target's zone")]
-#[test_case(270, 11, 2; "news is on its way")]
+#[test_case(270, 11, 2; "updates are on their way")]
 #[test_case(270, 13, 4; "readers are silent")]
 #[test_case(270, 20, 8; "more are silent")]
-#[test_case(9, 60, 9; "all take part in the end")]
+#[test_case(9, 60, 9; "all read in the end")]
 fn readers_of_a_zone(size: usize, age_s: u64, expected: usize) {
-    let roster = roster(size);
+    let instance_list = instance_list(size);
     let age = Duration::from_secs(age_s);
-    let reads =
-        |number: &usize| ReaderRota::new(format!("i{number}"), "a".to_owned()).reads(&roster, age);
+    let reads = |number: &usize| {
+        ReaderRanking::new(format!("i{number}"), "a".to_owned()).reads(&instance_list, age)
+    };
     assert_eq!((0..size).filter(reads).count(), expected);
 }
 
 #[test]
 fn an_instance_that_is_not_listed_reads_for_itself() {
-    let rota = ReaderRota::new("new".to_owned(), "a".to_owned());
-    assert!(rota.reads(&roster(9), Duration::ZERO));
-    assert!(rota.reads(&Roster::default(), Duration::ZERO));
+    let rota = ReaderRanking::new("new".to_owned(), "a".to_owned());
+    assert!(rota.reads(&instance_list(9), Duration::ZERO));
+    assert!(rota.reads(&InstanceList::default(), Duration::ZERO));
 }
 
-/// Its rank does not matter: it has nothing to serve with.
+/// An instance without a configuration reads whatever its rank is, as it cannot serve without one.
 #[test]
 fn an_instance_without_a_configuration_reads() {
-    let fleet = roster(9);
+    let fleet = instance_list(9);
     let is_reader = |number: &usize| {
-        let rota = ReaderRota::new(format!("i{number}"), "a".to_owned());
+        let rota = ReaderRanking::new(format!("i{number}"), "a".to_owned());
         rota.reads(&fleet, Duration::ZERO)
     };
     let number = (0..9).find(|number| !is_reader(number)).unwrap();
@@ -129,7 +130,7 @@
     control.handle(
         now,
         0,
-        Event::RosterOffered {
+        Event::InstanceListOffered {
             version: 1,
             entries,
         },
@@ -160,8 +161,8 @@
     }
 }
 
-/// Peers that are told at once, over rounds, reach the whole zone: the spread
-/// by fan-out alone, without the periodic exchanges.
+/// A change that is sent on in rounds reaches the whole zone by fan-out alone, without the periodic
+/// exchanges.
 #[test_case(9; "today")]
 #[test_case(270; "the target's zone")]
 fn a_change_spreads_by_fan_out(size: usize) {
@@ -181,7 +182,7 @@
         control.handle(
             now,
             0,
-            Event::RosterOffered {
+            Event::InstanceListOffered {
                 version: 1,
                 entries,
             },
@@ -193,34 +194,34 @@
         document: document.clone(),
         source: source.to_owned(),
     };
-    let mut informed = BTreeSet::from([0]);
-    let mut front = vec![0];
+    let mut reached = BTreeSet::from([0]);
+    let mut frontier = vec![0];
     let mut messages = 0;
     let mut rounds = 0;
-    while !front.is_empty() {
+    while !frontier.is_empty() {
         rounds += 1;
         let mut next = Vec::new();
-        for number in front {
+        for number in frontier {
             for command in controls[number].handle(now, 0, offered("peer")) {
                 if let Command::ExchangeWith { instance, .. } = command {
                     messages += 1;
                     let peer: usize = instance[1..].parse().unwrap();
-                    if informed.insert(peer) {
+                    if reached.insert(peer) {
                         next.push(peer);
                     }
                 }
             }
         }
-        front = next;
+        frontier = next;
     }
     println!(
-        "{size} instances: {} informed in {rounds} rounds by {messages} messages",
-        informed.len()
+        "{size} instances: {} reached in {rounds} rounds by {messages} messages",
+        reached.len()
     );
     assert!(
-        informed.len() * 10 >= size * 9,
+        reached.len() * 10 >= size * 9,
         "{} of {size}",
-        informed.len()
+        reached.len()
     );
 }
 
@@ -243,7 +244,7 @@
 fn a_peer_message(tampering: Tampering, expected: Result<(), PeerRejection>) {
     let keyring = Keyring::from_hex(&["01".repeat(32)]).unwrap();
     let other = Keyring::from_hex(&["02".repeat(32)]).unwrap();
-    let (sender, life) = ("a1".to_owned(), "life".to_owned());
+    let (sender, incarnation) = ("a1".to_owned(), "life".to_owned());
     let receiver = match tampering {
         Tampering::Receiver => "a3".to_owned(),
         _ => "a2".to_owned(),
@@ -252,7 +253,7 @@
         Tampering::OtherKey => &other,
         _ => &keyring,
     };
-    let tag = PeerGuard::sign(signing, (&sender, &life), &receiver, 7, "body");
+    let tag = PeerGuard::sign(signing, (&sender, &incarnation), &receiver, 7, "body");
     let sender = match tampering {
         Tampering::Sender => "a9".to_owned(),
         _ => sender,
@@ -264,15 +265,15 @@
     let mut guard = PeerGuard::new("a2".to_owned());
     if matches!(tampering, Tampering::Replay) {
         guard
-            .accept(&keyring, (&sender, &life), &receiver, 7, body, &tag)
+            .accept(&keyring, (&sender, &incarnation), &receiver, 7, body, &tag)
             .unwrap();
     }
-    let verdict = guard.accept(&keyring, (&sender, &life), &receiver, 7, body, &tag);
+    let verdict = guard.accept(&keyring, (&sender, &incarnation), &receiver, 7, body, &tag);
     assert_eq!(verdict, expected);
 }
 
 #[test]
-fn a_key_is_replaced_without_a_gap() {
+fn keys_can_be_rotated_without_rejections() {
     let (old, new) = ("01".repeat(32), "02".repeat(32));
     let before = Keyring::from_hex(std::slice::from_ref(&old)).unwrap();
     let during = Keyring::from_hex(&[new.clone(), old]).unwrap();
@@ -284,7 +285,7 @@
 }
 
 #[test]
-fn hybrid_time_follows_causes_and_ignores_a_wild_clock() {
+fn hybrid_time_respects_causality_and_ignores_a_wrong_clock() {
     let mut clock = HybridClock::default();
     let sent = HybridTime {
         wall_ms: 5_000,
--- a/crates/daemon/src/peers/fleet_link/duty.rs
+++ b/crates/daemon/src/peers/fleet_link/duty.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use iristhread_core::ConfigVersion;
-use iristhread_core::LagNews;
+use iristhread_core::LagUpdate;
 use iristhread_core::Now;
-use iristhread_core::ReadingWaits;
+use iristhread_core::ReadTiming;
 use iristhread_core::Revision;
 use slog::info;
 
@@ -70,7 +70,7 @@
         let members = self.members();
         let heard = members.list_confirmed_at(now, list_revision);
         let confirmed_at = self.knowledge().list_confirmed_at().max(heard);
-        members.is_lost(now, confirmed_at)
+        members.is_stale(now, confirmed_at)
     }
 
     /// Whether this instance should watch the platform's configuration: as for
@@ -88,7 +88,7 @@
             (now >= self.config_from).then_some(ReadingReason::First)
         } else if is_stuck {
             Some(ReadingReason::Behind)
-        } else if is_ahead && members.relays(now) {
+        } else if is_ahead && members.is_relay(now) {
             Some(ReadingReason::Relay)
         } else if members.reads(now, confirmed_at, knowledge.can_read()) {
             Some(match members.is_old(now, confirmed_at) {
@@ -111,16 +111,16 @@
         now: Now,
         is_behind: bool,
         version: ConfigVersion,
-        waits: &ReadingWaits,
+        waits: &ReadTiming,
     ) -> bool {
         let lag = self.config_lag.lock();
         let mut lag = lag.unwrap_or_else(PoisonError::into_inner);
         match lag.note(now, is_behind) {
-            Some(LagNews::Began) => info!(self.log, "a peer has a newer configuration";
+            Some(LagUpdate::Began) => info!(self.log, "a peer has a newer configuration";
                 "version" => version),
-            Some(LagNews::Ended(time)) => self.metrics.config_was_behind(time),
+            Some(LagUpdate::Ended(time)) => self.metrics.config_was_behind(time),
             None => {}
         }
-        lag.is_too_long(now, waits)
+        lag.is_overdue(now, waits)
     }
 }
