--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::BackendServer;
-use crate::FailurePause;
+use crate::FailureBackoff;
 use crate::LengthEstimator;
 use crate::LoadReport;
 use crate::MemoryDemand;
@@ -13,8 +13,8 @@
 use crate::OwnSession;
 use crate::RequestId;
 use crate::RoutingContext;
+use crate::ServerBackoff;
 use crate::ServerNotice;
-use crate::ServerRest;
 
 /// Lag that reports are taken to have when they arrive.
 const REPORT_LAG: Duration = Duration::from_millis(300);
@@ -33,9 +33,9 @@
     own: MemoryDemand,
     started_since: MemoryDemand,
     sessions: HashMap<RequestId, OwnSession>,
-    pause: FailurePause,
+    pause: FailureBackoff,
     /// The rest that it asked for, until it has taken work again.
-    rest: Option<ServerRest>,
+    rest: Option<ServerBackoff>,
     /// Whether one of its answers said that it leaves.
     said_leaving: bool,
 }
@@ -51,7 +51,7 @@
             own: MemoryDemand::default(),
             started_since: MemoryDemand::default(),
             sessions: HashMap::new(),
-            pause: FailurePause::default(),
+            pause: FailureBackoff::default(),
             rest: None,
             said_leaving: false,
         }
@@ -124,7 +124,7 @@
         generated: u32,
         estimator: &LengthEstimator,
     ) {
-        self.rest.take_if(|rest| rest.is_over_by(request));
+        self.rest.take_if(|rest| rest.is_ended_by(request));
         if let Some(session) = self.sessions.get_mut(request) {
             self.own.add(&session.counted, -1.0);
             session.generated = generated;
@@ -207,7 +207,7 @@
         if !self.has_rested(now) {
             return Some("resting at its own request");
         }
-        if self.pause.is_paused(now) {
+        if self.pause.is_backing_off(now) {
             return Some("paused after failures");
         }
         None
--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -20,9 +20,9 @@
 use crate::HybridTime;
 use crate::Incarnation;
 use crate::InstanceId;
+use crate::KnownGoodRequests;
 use crate::LengthEstimator;
 use crate::Now;
-use crate::ProvenContents;
 use crate::ReaderRota;
 use crate::Refusal;
 use crate::RequestId;
@@ -106,7 +106,7 @@
     timeline: Timeline,
     random: Pcg32,
     suspicions: Suspicions,
-    proven: ProvenContents,
+    proven: KnownGoodRequests,
     /// Open requests that have run well for a while.
     proven_requests: HashSet<RequestId>,
     limits: ServerLimits,
@@ -144,7 +144,7 @@
             timeline: Timeline::new(instance, settings.timeline_records),
             random: Pcg32::seed_from_u64(settings.seed),
             suspicions: Suspicions::default(),
-            proven: ProvenContents::default(),
+            proven: KnownGoodRequests::default(),
             proven_requests: HashSet::new(),
             limits: ServerLimits::default(),
             settings,
--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -6,11 +6,11 @@
 use rand_core::Rng;
 
 use super::Control;
-use crate::HeardNotice;
-use crate::LimitTerms;
+use crate::DeclaredLimit;
+use crate::LimitParameters;
 use crate::LoadReport;
-use crate::NamedLimit;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::RequestRate;
 use crate::ServerLife;
 use crate::membership::rendezvous::weight;
@@ -27,18 +27,18 @@
 
 impl Control {
     /// Notes what an answer says of its server's limit.
-    pub(super) fn limit_noticed(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
+    pub(super) fn limit_noticed(&mut self, now: Now, backend: &str, heard: &ObservedNotice) {
         let limit = heard.notice.limit;
-        if limit == NamedLimit::NotTold && !heard.tells_limits {
+        if limit == DeclaredLimit::Absent && !heard.reports_limits {
             return;
         }
         let Some(server) = self.server_life(backend) else {
             return;
         };
         let window = self.limit_window();
-        self.limits.set_terms(LimitTerms {
+        self.limits.set_terms(LimitParameters {
             window,
-            ..LimitTerms::default()
+            ..LimitParameters::default()
         });
         let earned = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         self.limits
@@ -47,7 +47,7 @@
 
     /// Whether something may be sent to a backend server now as far as its limit goes; what
     /// may be sent counts as sent.
-    pub(super) fn wish(&mut self, now: Now, backend: &str) -> bool {
+    pub(super) fn request_grant(&mut self, now: Now, backend: &str) -> bool {
         let Some(server) = self.server_life(backend) else {
             return true;
         };
@@ -55,14 +55,14 @@
             return true;
         }
         let others = self.wanted_by_others(now, &server);
-        self.limits.wish(now, server.life, others)
+        self.limits.request_grant(now, server.life, others)
     }
 
     /// Time until this instance may send something to a limited server; `None` if it may now.
-    pub(super) fn turn_in(&self, now: Now, backend: &str) -> Option<Duration> {
+    pub(super) fn time_until_turn(&self, now: Now, backend: &str) -> Option<Duration> {
         let server = self.server_life(backend)?;
         let others = self.wanted_by_others(now, &server);
-        self.limits.turn_in(now, server.life, others)
+        self.limits.time_until_turn(now, server.life, others)
     }
 
     /// A report that counts from the start again is of another life, which named no limit.
@@ -75,7 +75,7 @@
 
     /// One wish more than was counted, since rare ones are forgotten between two.
     fn wanted_by_others(&self, now: Now, server: &ServerLife) -> RequestRate {
-        let one = RequestRate::of_per_s(1.0 / self.limit_window().as_secs_f64());
+        let one = RequestRate::from_per_s(1.0 / self.limit_window().as_secs_f64());
         let own = self.limits.wanted(now, server.life).plus(one);
         own.times(self.instances().saturating_sub(1))
     }
--- a/crates/core/src/completion/control/notices.rs
+++ b/crates/core/src/completion/control/notices.rs
@@ -7,14 +7,14 @@
 use crate::BackendId;
 use crate::BackendView;
 use crate::Command;
-use crate::HeardNotice;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::Refusal;
 use crate::RequestId;
 
 impl Control {
     /// Notes what an answer said of its backend server.
-    pub(super) fn noticed(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
+    pub(super) fn noticed(&mut self, now: Now, backend: &str, heard: &ObservedNotice) {
         if let Some(view) = self.book.view_mut(backend) {
             view.noticed(now, &heard.notice);
         }
@@ -25,13 +25,13 @@
     /// runners were ranked.
     pub fn may_call(&mut self, now: Now, backend: &str, request: &RequestId) -> bool {
         let view = self.book.view_mut(backend);
-        view.is_some_and(|view| view.may_call(now, request)) && self.wish(now, backend)
+        view.is_some_and(|view| view.may_call(now, request)) && self.request_grant(now, backend)
     }
 
     /// Whether something may be sent to a backend server about what it runs: it has not
     /// asked for rest, and takes more under the limit that it named.
     pub fn may_reach(&mut self, now: Now, backend: &str) -> bool {
-        !self.rests(now, backend) && self.wish(now, backend)
+        !self.rests(now, backend) && self.request_grant(now, backend)
     }
 
     /// Whether a backend server has asked for rest that is not over.
@@ -53,7 +53,7 @@
     /// Time until a backend server takes something.
     fn wait_for(&self, now: Now, view: &BackendView) -> Option<Duration> {
         let rest = view.rest_left(now);
-        rest.or_else(|| self.turn_in(now, &view.server().name))
+        rest.or_else(|| self.time_until_turn(now, &view.server().name))
     }
 
     /// The time until the first engine of a model has rested; `None` unless all rest.
--- a/crates/core/src/completion/control/placing.rs
+++ b/crates/core/src/completion/control/placing.rs
@@ -155,7 +155,9 @@
             };
             let choice = self.router.choose(&self.book, &context);
             match &choice.engine {
-                Some(engine) if !self.wish(now, engine) => need.limited.push(engine.clone()),
+                Some(engine) if !self.request_grant(now, engine) => {
+                    need.limited.push(engine.clone())
+                }
                 _ => return choice,
             }
         }
--- a/crates/core/src/completion/control/suspecting.rs
+++ b/crates/core/src/completion/control/suspecting.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use super::Control;
+use crate::AdvertisedSuspect;
 use crate::BackendId;
 use crate::Command;
 use crate::Fingerprint;
+use crate::KNOWN_GOOD_AFTER;
 use crate::LifeId;
 use crate::Now;
-use crate::RAN_WELL_AFTER;
 use crate::Refusal;
 use crate::RequestId;
-use crate::ServerEnd;
-use crate::SuspicionNews;
-use crate::ToldSuspect;
+use crate::ServerCrash;
+use crate::SuspicionUpdate;
 use crate::Verdict;
 use crate::membership::rendezvous::weight;
 
@@ -33,16 +33,16 @@
         ran_for: Duration,
         commands: &mut Vec<Command>,
     ) {
-        if ran_for >= RAN_WELL_AFTER {
+        if ran_for >= KNOWN_GOOD_AFTER {
             return;
         }
-        let end = ServerEnd {
+        let end = ServerCrash {
             life: self.life_of(backend),
             at: now,
         };
-        let proven_at = self.proven.proven_at(fingerprint);
+        let known_good_at = self.proven.known_good_at(fingerprint);
         self.suspicions
-            .server_ended(now, fingerprint, proven_at, end);
+            .server_ended(now, fingerprint, known_good_at, end);
         self.spread(commands);
     }
 
@@ -51,10 +51,10 @@
     }
 
     /// Takes what a peer suspects.
-    pub(super) fn suspects_heard(&mut self, now: Now, suspects: &[ToldSuspect]) {
+    pub(super) fn suspects_heard(&mut self, now: Now, suspects: &[AdvertisedSuspect]) {
         for told in suspects {
-            let proven_at = self.proven.proven_at(told.fingerprint);
-            self.suspicions.hear(now, proven_at, told);
+            let known_good_at = self.proven.known_good_at(told.fingerprint);
+            self.suspicions.hear(now, known_good_at, told);
         }
     }
 
@@ -72,7 +72,7 @@
         let begun_at = *running.begun_at.get_or_insert(now);
         let fingerprint = running.fingerprint;
         let is_news = !self.proven_requests.contains(request);
-        if is_news && now.saturating_sub(begun_at) >= RAN_WELL_AFTER {
+        if is_news && now.saturating_sub(begun_at) >= KNOWN_GOOD_AFTER {
             self.proven_requests.insert(request.clone());
             self.ran_well(now, fingerprint);
         }
@@ -99,12 +99,12 @@
     }
 
     /// What a peer should know of suspicions.
-    pub fn known_suspects(&self, now: Now) -> Vec<ToldSuspect> {
+    pub fn known_suspects(&self, now: Now) -> Vec<AdvertisedSuspect> {
         self.suspicions.known(now)
     }
 
     /// The suspicions that have changed since this was asked last.
-    pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_news(&mut self) -> Vec<SuspicionUpdate> {
         self.suspicions.take_news()
     }
 }
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::AdvertisedSuspect;
 use crate::Attempt;
 use crate::BackendId;
 use crate::ConfigVersion;
 use crate::Document;
 use crate::Fingerprint;
-use crate::HeardNotice;
 use crate::HybridTime;
 use crate::Incarnation;
 use crate::InstanceEntry;
 use crate::InstanceId;
 use crate::LoadReport;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::RequestId;
 use crate::TimelineEvent;
-use crate::ToldSuspect;
 use crate::WorkspaceId;
 
 /// A request for an engine, for a first or a further attempt.
@@ -102,7 +102,7 @@
     /// A peer told which requests it suspects to end backend servers.
     SuspectsHeard {
         /// Their contents.
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<AdvertisedSuspect>,
     },
     /// The request is over for its caller.
     Closed {
@@ -128,7 +128,7 @@
         /// Which.
         backend: BackendId,
         /// What it said.
-        heard: HeardNotice,
+        heard: ObservedNotice,
     },
     /// A backend server answered a call.
     BackendAnswered {
--- a/crates/core/src/directory/replica_list.rs
+++ b/crates/core/src/directory/replica_list.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::BackendId;
-use crate::LeavingMarks;
+use crate::DrainingMarks;
 use crate::LifeId;
 use crate::Now;
 use crate::Replica;
@@ -93,9 +93,9 @@
     /// it was within them, which shows in no line.
     skipped: VecDeque<(Revision, Revision)>,
     /// Lives that said themselves that they leave.
-    said_leaving: LeavingMarks,
+    said_leaving: DrainingMarks,
     /// Lives that were listed and are no more.
-    gone: LeavingMarks,
+    gone: DrainingMarks,
     /// Ids whose entry is there and can't be used.
     unusable: BTreeSet<BackendId>,
     /// Replicas that are new here or have begun another life.
--- a/crates/core/src/directory/replica_view.rs
+++ b/crates/core/src/directory/replica_view.rs
@@ -6,7 +6,7 @@
 
 use crate::BackendId;
 use crate::EngineTraits;
-use crate::FailurePause;
+use crate::FailureBackoff;
 use crate::LifeId;
 use crate::LoadShare;
 use crate::LoadShares;
@@ -147,7 +147,7 @@
 pub fn score(
     replica: &Replica,
     load: LoadShare,
-    pause: &FailurePause,
+    pause: &FailureBackoff,
     context: &ScoreContext<'_>,
 ) -> ReplicaScore {
     let slots = f64::from(replica.slots.max(1));
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -12,17 +12,17 @@
 use crate::Belief;
 use crate::ConfigVersion;
 use crate::EvacuationChange;
-use crate::FailurePause;
+use crate::FailureBackoff;
 use crate::GatewayConfig;
 use crate::GatewayTerms;
 use crate::InstanceId;
+use crate::KnownGoodRequests;
 use crate::LoadShares;
 use crate::Moving;
 use crate::Now;
 use crate::OwnRun;
 use crate::PeerLoads;
 use crate::PlacementAsk;
-use crate::ProvenContents;
 use crate::Ranking;
 use crate::Refusal;
 use crate::RefusalKind;
@@ -103,7 +103,7 @@
     terms: GatewayTerms,
     table: Option<Arc<RouteTable>>,
     list: ReplicaList,
-    pauses: BTreeMap<BackendId, FailurePause>,
+    pauses: BTreeMap<BackendId, FailureBackoff>,
     runs: HashMap<RequestId, OwnRun>,
     peers: PeerLoads,
     budget: RetryBudget,
@@ -116,7 +116,7 @@
     limits: ServerLimits,
     broken_runs: BrokenRuns,
     suspicions: Suspicions,
-    proven: ProvenContents,
+    proven: KnownGoodRequests,
     orphaned: Vec<RequestId>,
 }
 
@@ -130,7 +130,7 @@
             pauses: BTreeMap::new(),
             runs: HashMap::new(),
             peers: PeerLoads::new(terms.zone.clone()),
-            budget: RetryBudget::with_terms(terms.retry_ratio, 0.0),
+            budget: RetryBudget::with_parameters(terms.retry_ratio, 0.0),
             random,
             list_is_lost: false,
             watch: EngineWatch::default(),
@@ -140,7 +140,7 @@
             limits: ServerLimits::default(),
             broken_runs: BrokenRuns::default(),
             suspicions: Suspicions::default(),
-            proven: ProvenContents::default(),
+            proven: KnownGoodRequests::default(),
             orphaned: Vec::new(),
             terms,
         };
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -4,12 +4,13 @@
 use std::time::Duration;
 
 use super::GatewayControl;
+use crate::AdvertisedLimit;
 use crate::BackendId;
-use crate::HeardNotice;
+use crate::DeclaredLimit;
 use crate::LimitChange;
 use crate::LoadShares;
-use crate::NamedLimit;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::PlacementAsk;
 use crate::Refusal;
 use crate::Replica;
@@ -17,7 +18,6 @@
 use crate::RequestRate;
 use crate::ServerLife;
 use crate::ServerLimits;
-use crate::ToldLimit;
 
 /// Shortest time to come back that is told: a turn may come sooner, and be another's.
 const SHORTEST_WAIT: Duration = Duration::from_millis(100);
@@ -28,10 +28,10 @@
         &mut self,
         now: Now,
         server: &ServerLife,
-        heard: &HeardNotice,
+        heard: &ObservedNotice,
     ) -> Option<LimitChange> {
         let limit = heard.notice.limit;
-        if limit == NamedLimit::NotTold && !heard.tells_limits {
+        if limit == DeclaredLimit::Absent && !heard.reports_limits {
             return None;
         }
         let earned = self.chance();
@@ -42,12 +42,12 @@
     pub fn hear_limits(
         &mut self,
         now: Now,
-        told: Vec<ToldLimit>,
+        told: Vec<AdvertisedLimit>,
     ) -> Vec<(ServerLife, LimitChange)> {
         let mut changes = Vec::new();
         for told in told {
             let earned = self.chance();
-            let change = self.limits.hear_told(now, &told, earned);
+            let change = self.limits.apply_advertised(now, &told, earned);
             changes.extend(change.map(|change| (told.server, change)));
         }
         changes
@@ -56,7 +56,7 @@
     /// Whether something may be sent to a server now: an order, a question, or a request that
     /// was placed before.
     pub fn may_send(&mut self, now: Now, server: &ServerLife, request: &str) -> bool {
-        self.limits.use_grant(now, request, server.life) || self.wish(now, server)
+        self.limits.consume_grant(now, request, server.life) || self.request_grant(now, server)
     }
 
     /// What all other instances want of a limited server. Those that could not say yet, since
@@ -76,7 +76,7 @@
     }
 
     /// What to tell the others of limits.
-    pub fn told_limits(&mut self, now: Now, is_relay: bool) -> Vec<ToldLimit> {
+    pub fn told_limits(&mut self, now: Now, is_relay: bool) -> Vec<AdvertisedLimit> {
         self.limits.told(now, is_relay)
     }
 
@@ -84,7 +84,7 @@
     /// are told it.
     pub fn told_shares(&mut self, now: Now) -> LoadShares {
         let mut shares = self.shares();
-        for (id, wanted) in self.limits.tell_wanted(now) {
+        for (id, wanted) in self.limits.advertise_demand(now) {
             shares.entry(id).or_default().wanted = wanted;
         }
         shares
@@ -105,7 +105,7 @@
         let mut ranked = ranked.into_iter();
         let mut passed_over = Vec::new();
         for score in ranked.by_ref() {
-            if self.wish(now, &score.replica.server_life()) {
+            if self.request_grant(now, &score.replica.server_life()) {
                 let taken = std::iter::once(score).chain(ranked);
                 return (taken.collect(), passed_over);
             }
@@ -124,12 +124,12 @@
     /// Why nobody takes a request, when all who could are limited.
     pub(super) fn all_limited(&mut self, now: Now, ask: &PlacementAsk, all: &[Replica]) -> Refusal {
         let turns = all.iter().filter_map(|replica| {
-            let left = self.turn_in(now, replica)?;
+            let left = self.time_until_turn(now, replica)?;
             Some((left, replica.life()))
         });
         let first = turns.min_by_key(|(left, _)| *left);
         if let Some((left, life)) = first {
-            self.limits.await_turn(now, life, left);
+            self.limits.reserve_turn(now, life, left);
         }
         let left = first.map_or(SHORTEST_WAIT, |(left, _)| left);
         Refusal::limited(&ask.service, left.max(SHORTEST_WAIT))
@@ -137,9 +137,9 @@
 
     /// Time until this instance may send a limited replica one more request than others were
     /// told to wait for; `None` if it may now.
-    pub(super) fn turn_in(&self, now: Now, replica: &Replica) -> Option<Duration> {
+    pub(super) fn time_until_turn(&self, now: Now, replica: &Replica) -> Option<Duration> {
         let others = self.wanted_by_others(now, &replica.server_life());
-        self.limits.turn_in(now, replica.life(), others)
+        self.limits.time_until_turn(now, replica.life(), others)
     }
 
     /// Drops what is known of limits of lives that are long gone.
@@ -151,12 +151,12 @@
         self.limits.expire(now, |life| listed.contains(&life));
     }
 
-    pub(super) fn wish(&mut self, now: Now, server: &ServerLife) -> bool {
+    pub(super) fn request_grant(&mut self, now: Now, server: &ServerLife) -> bool {
         if !self.limits.has(server.life) {
             return true;
         }
         let others = self.wanted_by_others(now, server);
-        self.limits.wish(now, server.life, others)
+        self.limits.request_grant(now, server.life, others)
     }
 }
 
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -17,9 +17,9 @@
 use crate::PlacementAsk;
 use crate::Refusal;
 use crate::Replica;
+use crate::ServerBackoff;
 use crate::ServerLife;
 use crate::ServerNotice;
-use crate::ServerRest;
 
 /// Longest time after a rest over which callers that were refused because of it are spread;
 /// for shorter rests it is what is left of them. Told the same moment, they would all come
@@ -50,7 +50,7 @@
 /// What this instance was asked for by answers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rests {
-    by_life: BTreeMap<LifeId, ServerRest>,
+    by_life: BTreeMap<LifeId, ServerBackoff>,
     /// Rises when a server asks for rest.
     version: u64,
 }
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn served(&mut self, request: &str) {
-        self.by_life.retain(|_, rest| !rest.is_over_by(request));
+        self.by_life.retain(|_, rest| !rest.is_ended_by(request));
     }
 }
 
@@ -159,7 +159,7 @@
                 _ => None,
             }
         };
-        let left = |replica: &Replica| left(replica).or_else(|| self.turn_in(now, replica));
+        let left = |replica: &Replica| left(replica).or_else(|| self.time_until_turn(now, replica));
         let lefts: Option<Vec<Duration>> = open.map(left).collect();
         lefts?.into_iter().min()
     }
--- a/crates/core/src/gateway/gateway_control/ranking.rs
+++ b/crates/core/src/gateway/gateway_control/ranking.rs
@@ -84,10 +84,10 @@
         // When all are paused, trying one of them beats refusing; those that take no more under
         // their limits may turn out to be of no use.
         let mut unlimited = replicas.iter().filter(|r| !self.limits.has(r.life()));
-        let all_paused = unlimited.all(|r| pause_of(&r.id).is_paused(now));
+        let all_paused = unlimited.all(|r| pause_of(&r.id).is_backing_off(now));
         for replica in replicas {
             let pause = self.pauses.get(&replica.id).copied().unwrap_or_default();
-            if pause.is_paused(now) && !all_paused {
+            if pause.is_backing_off(now) && !all_paused {
                 continue;
             }
             let context = ScoreContext {
--- a/crates/core/src/gateway/gateway_control/suspecting.rs
+++ b/crates/core/src/gateway/gateway_control/suspecting.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use super::GatewayControl;
+use crate::AdvertisedSuspect;
 use crate::BackendId;
 use crate::Fingerprint;
+use crate::KNOWN_GOOD_AFTER;
 use crate::LifeId;
 use crate::ListedState;
 use crate::Now;
-use crate::RAN_WELL_AFTER;
 use crate::Refusal;
 use crate::Replica;
 use crate::RequestId;
-use crate::ServerEnd;
+use crate::ServerCrash;
 use crate::ServerLife;
-use crate::SuspicionNews;
-use crate::ToldSuspect;
+use crate::SuspicionUpdate;
 use crate::Verdict;
 use crate::rendezvous_rank;
 
@@ -108,30 +108,30 @@
     }
 
     fn attribute(&mut self, now: Now, broken: &BrokenRun) {
-        let end = ServerEnd {
+        let end = ServerCrash {
             life: broken.life,
             at: broken.at,
         };
-        let proven_at = self.proven.proven_at(broken.fingerprint);
+        let known_good_at = self.proven.known_good_at(broken.fingerprint);
         self.suspicions
-            .server_ended(now, broken.fingerprint, proven_at, end);
+            .server_ended(now, broken.fingerprint, known_good_at, end);
     }
 
     /// Takes what a peer suspects.
-    pub fn hear_suspects(&mut self, now: Now, told: &[ToldSuspect]) {
+    pub fn hear_suspects(&mut self, now: Now, told: &[AdvertisedSuspect]) {
         for told in told {
-            let proven_at = self.proven.proven_at(told.fingerprint);
-            self.suspicions.hear(now, proven_at, told);
+            let known_good_at = self.proven.known_good_at(told.fingerprint);
+            self.suspicions.hear(now, known_good_at, told);
         }
     }
 
     /// What the others should know of suspicions now.
-    pub fn told_suspects(&mut self, now: Now) -> Vec<ToldSuspect> {
+    pub fn told_suspects(&mut self, now: Now) -> Vec<AdvertisedSuspect> {
         self.suspicions.told(now)
     }
 
     /// The suspicions that have changed since this was asked last.
-    pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_news(&mut self) -> Vec<SuspicionUpdate> {
         self.suspicions.take_news()
     }
 
@@ -166,7 +166,7 @@
         let Some(run) = self.runs.get(request) else {
             return true;
         };
-        run.is_proven || self.suspicions.verdict(run.ask.fingerprint) == Verdict::Free
+        run.is_proven || self.suspicions.verdict(run.ask.fingerprint) == Verdict::Allowed
     }
 
     /// Refuses a request whose content is quarantined. After its quarantine one
@@ -212,7 +212,7 @@
 impl crate::OwnRun {
     /// Whether it has gone on well for a while where it runs, or did so before.
     pub(super) fn went_well(&self, now: Now) -> bool {
-        let since = |begun: Now| now.saturating_sub(begun) >= RAN_WELL_AFTER;
+        let since = |begun: Now| now.saturating_sub(begun) >= KNOWN_GOOD_AFTER;
         self.is_proven || self.begun_at.is_some_and(since)
     }
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,4 +1,4 @@
-//! How much may be sent: limits of workspaces and of backend servers, budgets of retries, queues.
+//! Admission control: workspace limits, backend server limits, retry budgets and queues.
 
 pub(crate) mod admission;
 pub(crate) mod event_rate;
--- a/crates/core/src/limits/admission.rs
+++ b/crates/core/src/limits/admission.rs
@@ -1,4 +1,4 @@
-//! Limits per workspace: requests a second and requests open at once.
+//! Limits per workspace: requests per second and concurrently open requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,8 +10,9 @@
 use crate::Workspace;
 use crate::WorkspaceId;
 
-/// Advice when a slot has to become free: there is no better estimate.
-const OPEN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` of a refusal by the concurrency limit: there is no better estimate of when an
+/// open request ends.
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Usage {
@@ -19,7 +20,7 @@
     bucket: TokenBucket,
 }
 
-/// Counts of this instance.
+/// Open requests and request rates of each workspace, as counted by this instance.
 #[derive(Debug, Default)]
 pub struct Admission {
     usage: HashMap<WorkspaceId, Usage>,
@@ -30,7 +31,7 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] that names the limit.
+    /// A [`Refusal`] that names the exceeded limit and the time after which to retry.
     pub fn open(&mut self, now: Now, workspace: &Workspace) -> Result<(), Refusal> {
         let rate = f64::from(workspace.max_requests_per_s);
         let usage = self
@@ -44,7 +45,7 @@
             let limit = workspace.max_open_requests;
             return Err(Refusal::new(
                 RefusalKind::ConcurrencyLimit,
-                OPEN_RETRY_AFTER,
+                CONCURRENCY_RETRY_AFTER,
                 format!("the workspace has {limit} requests open, its limit max_open_requests"),
             ));
         }
@@ -63,14 +64,14 @@
         Ok(())
     }
 
-    /// Ends one request.
+    /// Closes one open request of the workspace.
     pub fn close(&mut self, workspace: &str) {
         if let Some(usage) = self.usage.get_mut(workspace) {
             usage.open = usage.open.saturating_sub(1);
         }
     }
 
-    /// Requests of the workspace that are open.
+    /// Number of open requests of the workspace.
     pub fn open_requests(&self, workspace: &str) -> u32 {
         self.usage.get(workspace).map_or(0, |usage| usage.open)
     }
--- a/crates/core/src/limits/event_rate.rs
+++ b/crates/core/src/limits/event_rate.rs
@@ -1,49 +1,49 @@
-//! How often something has happened lately, in passed-in time.
+//! Recent rate of an event; the caller passes in the time.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// Events a second as an exponentially weighted mean over about `window`.
+/// Events per second as an exponentially weighted mean over about `window`.
 ///
-/// The mean of many such rates is right also where each counts less than one event in a
-/// window.
+/// The mean of many such rates is correct even if each of them counts less than one event
+/// per window.
 #[derive(Clone, Debug)]
 pub struct EventRate {
     window: Duration,
-    begun: Now,
-    updated: Now,
+    started_at: Now,
+    updated_at: Now,
     /// Weighted events, divided by the window in seconds.
     sum_per_s: f64,
 }
 
 impl EventRate {
-    /// Counts from now on.
+    /// Creates a rate that counts events from `now` on.
     pub fn new(now: Now, window: Duration) -> Self {
         EventRate {
             window,
-            begun: now,
-            updated: now,
+            started_at: now,
+            updated_at: now,
             sum_per_s: 0.0,
         }
     }
 
-    /// Notes an event.
+    /// Records an event at `now`.
     pub fn note(&mut self, now: Now) {
         self.sum_per_s = self.decayed(now) + 1.0 / self.window.as_secs_f64();
-        self.updated = self.updated.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Events a second. What came before the first moment is not taken to be nothing: a
-    /// young mean is weighted by the time that it covers, half of the window at least.
+    /// Events per second. The time before the rate was created does not count as time without
+    /// events: a new mean is weighted by the time that it covers, at least half of the window.
     pub fn per_s(&self, now: Now) -> f64 {
-        let covered = now.saturating_sub(self.begun).max(self.window / 2);
+        let covered = now.saturating_sub(self.started_at).max(self.window / 2);
         let weight = 1.0 - (-self.windows(covered)).exp();
         self.decayed(now) / weight
     }
 
     fn decayed(&self, now: Now) -> f64 {
-        let age = now.saturating_sub(self.updated);
+        let age = now.saturating_sub(self.updated_at);
         self.sum_per_s * (-self.windows(age)).exp()
     }
 
--- a/crates/core/src/limits/token_bucket.rs
+++ b/crates/core/src/limits/token_bucket.rs
@@ -1,10 +1,11 @@
-//! A token bucket in passed-in time.
+//! A token bucket; the caller passes in the time.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// Allows `rate` events a second with a burst of one second's worth.
+/// Permits `rate_per_s` events per second, with a burst of the events of one second (at least
+/// one event).
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate_per_s: f64,
@@ -13,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// Creates a full bucket.
+    /// Creates a full bucket that refills at `rate_per_s`.
     pub fn new(now: Now, rate_per_s: f64) -> Self {
         TokenBucket {
             rate_per_s,
@@ -22,17 +23,17 @@
         }
     }
 
-    /// Changes the rate and keeps the level within the new burst.
+    /// Sets the rate and reduces the level to the new burst.
     pub fn set_rate(&mut self, rate_per_s: f64) {
         self.rate_per_s = rate_per_s;
         self.level = self.level.min(rate_per_s.max(1.0));
     }
 
-    /// Takes one, or tells how long until one is there.
+    /// Takes one token.
     ///
     /// # Errors
     ///
-    /// The time to wait.
+    /// The time until a token is available, if there is none now.
     pub fn take(&mut self, now: Now) -> Result<(), Duration> {
         let elapsed = now.saturating_sub(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -1,12 +1,12 @@
-//! What is believed of single backend servers: what they said of themselves, their failures, and
-//! the requests under which they end.
+//! State of single backend servers: the notices in their answers, their failures, and the
+//! requests that are suspected to crash them.
 
-pub(crate) mod failure_pause;
+pub(crate) mod draining_marks;
+pub(crate) mod failure_backoff;
 pub(crate) mod fingerprint;
-pub(crate) mod leaving_marks;
+pub(crate) mod known_good_requests;
 pub(crate) mod load_report;
-pub(crate) mod proven_contents;
+pub(crate) mod server_backoff;
 pub(crate) mod server_notice;
-pub(crate) mod server_rest;
 pub(crate) mod suspect;
 pub(crate) mod suspicions;
--- a/crates/core/src/servers/fingerprint.rs
+++ b/crates/core/src/servers/fingerprint.rs
@@ -1,59 +1,59 @@
-//! What a request consists of, as a short digest: tries of a caller bear ids of their
-//! own, but the same content.
+//! A digest of a request: repeated attempts of a caller have different ids but the same
+//! fingerprint.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Digits of the content that logs show: two in a million requests share them.
-const SHOWN_DIGITS: usize = 12;
+/// Hexadecimal digits of the digest that logs show: in a million requests, two share them.
+const DISPLAYED_DIGITS: usize = 12;
 
-/// Identifies the workspace and the content of a request. Digests of two workspaces
-/// never meet, and nobody can make one that belongs to another's request (BLAKE3).
+/// Identifies the workspace and the content of a request. Digests of two workspaces never
+/// collide, and no caller can forge the digest of another workspace's request (BLAKE3).
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Fingerprint {
-    /// Digest of the workspace, so that each can be given its share of what is kept.
+    /// Digest of the workspace, so that stored fingerprints can be bounded per workspace.
     pub workspace: u64,
     /// Digest of the workspace and the content.
     pub content: u128,
 }
 
-/// What a fingerprint is made of.
+/// The parts of a request that a fingerprint covers.
 #[derive(Clone, Copy, Debug)]
-pub struct Content<'a> {
-    /// Whose request it is; `None` where callers have no keys.
+pub struct FingerprintInput<'a> {
+    /// The caller's workspace; `None` where callers have no keys.
     pub workspace: Option<&'a str>,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it names.
+    /// The requested host.
     pub host: &'a str,
-    /// Its path and query.
+    /// The path and query.
     pub path: &'a str,
-    /// Its body.
+    /// The request body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request; every process makes the same one of it.
-    pub fn of(content: &Content<'_>) -> Self {
-        let workspace = match content.workspace {
+    /// Computes the fingerprint of a request; the result is the same in every process.
+    pub fn of(input: &FingerprintInput<'_>) -> Self {
+        let workspace = match input.workspace {
             Some(workspace) => [b"w", workspace.as_bytes()].concat(),
             None => Vec::new(),
         };
         let mut hasher = blake3::Hasher::new();
         for part in [
             workspace.as_slice(),
-            content.method.as_bytes(),
-            content.host.as_bytes(),
-            content.path.as_bytes(),
+            input.method.as_bytes(),
+            input.host.as_bytes(),
+            input.path.as_bytes(),
         ] {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        hasher.update(content.body);
+        hasher.update(input.body);
         Fingerprint {
             workspace: first_u64(&blake3::hash(&workspace)),
             content: first_u128(&hasher.finalize()),
@@ -61,11 +61,11 @@
     }
 }
 
-/// As much of the content as tells requests apart in logs.
+/// The first digits of the digest, enough to distinguish requests in logs.
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let digits = format!("{:032x}", self.content);
-        f.write_str(&digits[..SHOWN_DIGITS])
+        f.write_str(&digits[..DISPLAYED_DIGITS])
     }
 }
 
--- a/crates/core/src/servers/load_report.rs
+++ b/crates/core/src/servers/load_report.rs
@@ -1,4 +1,4 @@
-//! An engine's own report of its load, which arrives with a lag.
+//! An engine's report of its own load, which arrives with a delay.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,22 +7,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LoadReport {
-    /// Counts the engine's reports; frozen reports repeat it.
+    /// Sequence number of the report; an engine whose reports are frozen repeats it.
     pub sequence: u64,
-    /// Memory for generations, in tokens.
+    /// Memory available for generation, in tokens.
     pub memory_tokens: u64,
-    /// Memory taken, in tokens.
+    /// Memory in use, in tokens.
     pub used_tokens: u64,
-    /// Sessions being decoded.
+    /// Number of sessions being decoded.
     pub running: u32,
-    /// Sessions waiting inside the engine.
+    /// Number of sessions queued inside the engine.
     pub waiting: u32,
-    /// Time of one decoding step, milliseconds.
+    /// Duration of one decoding step in milliseconds.
     pub step_ms: f64,
-    /// Sessions displaced since the engine started.
+    /// Number of sessions preempted since the engine started.
     pub preemptions: u64,
-    /// Whether the engine says that it is leaving.
+    /// Whether the engine is draining.
     pub leaving: bool,
-    /// Adapters that it holds.
+    /// Adapters that the engine has loaded.
     pub adapters: Vec<String>,
 }
--- a/crates/core/src/servers/server_notice.rs
+++ b/crates/core/src/servers/server_notice.rs
@@ -1,139 +1,139 @@
-//! What an answer says of the backend server that gave it, whatever it says of the
-//! request.
+//! Server notices: statements in an answer about the backend server itself, independent of the
+//! result of the request.
 
 use std::time::Duration;
 
 use crate::Now;
 use crate::RequestRate;
 
-/// Status of an answer that turns a request away because of the server's state
+/// Status of an answer that rejects a request because of the server's state
 /// (RFC 9110, section 15.6.4).
 const UNAVAILABLE: u16 = 503;
 
-/// The same for a caller that sends too much (RFC 6585, section 4).
+/// Status of an answer that rejects a request because the caller sends too many (RFC 6585,
+/// section 4).
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Longest rest that is granted: a day. A mistyped figure should not take a server out of
-/// service for the life of an instance.
-const LONGEST_REST: Duration = Duration::from_secs(24 * 3_600);
+/// Maximum backoff: one day. A mistyped number must not take a server out of service for as long
+/// as an instance runs.
+const MAX_BACKOFF: Duration = Duration::from_secs(24 * 3_600);
 
-/// The time to come back that an answer names (RFC 9110, section 10.2.3). Its form as a
-/// date is not read: clocks of different machines differ by more than a rest lasts.
+/// The `Retry-After` value of an answer (RFC 9110, section 10.2.3). Dates are not supported: the
+/// clocks of different machines differ by more than a backoff lasts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum RetryAfter {
-    /// It names none.
+    /// The answer has none.
     #[default]
-    NotTold,
-    /// After so long.
+    Absent,
+    /// The delay after which to retry.
     In(Duration),
-    /// It names one that can't be read.
+    /// The value can't be parsed.
     Unreadable,
 }
 
 impl RetryAfter {
-    /// Reads seconds, fractions included.
+    /// Parses seconds, including fractions. Larger values than a day become a day.
     pub fn parse(text: &str) -> RetryAfter {
         match text.trim().parse::<f64>() {
             Ok(seconds) if seconds.is_finite() && seconds >= 0.0 => {
-                let longest = LONGEST_REST.as_secs_f64();
-                RetryAfter::In(Duration::from_secs_f64(seconds.min(longest)))
+                let max_seconds = MAX_BACKOFF.as_secs_f64();
+                RetryAfter::In(Duration::from_secs_f64(seconds.min(max_seconds)))
             }
             _ => RetryAfter::Unreadable,
         }
     }
 }
 
-/// The requests a second that a server takes from all instances together, as an answer names
-/// it.
+/// The limit in requests per second that a server declares for all instances together.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum NamedLimit {
-    /// It names none.
+pub enum DeclaredLimit {
+    /// The answer declares none.
     #[default]
-    NotTold,
-    /// So many.
+    Absent,
+    /// The declared rate.
     Of(RequestRate),
-    /// It names one that can't be read.
+    /// The value can't be parsed.
     Unreadable,
 }
 
-impl NamedLimit {
-    /// Reads a decimal number of requests a second.
-    pub fn parse(text: &str) -> NamedLimit {
+impl DeclaredLimit {
+    /// Parses a decimal number of requests per second.
+    pub fn parse(text: &str) -> DeclaredLimit {
         match text.trim().parse::<f64>() {
             Ok(per_s) if per_s.is_finite() && per_s >= 0.0 => {
-                NamedLimit::Of(RequestRate::of_per_s(per_s))
+                DeclaredLimit::Of(RequestRate::from_per_s(per_s))
             }
-            _ => NamedLimit::Unreadable,
+            _ => DeclaredLimit::Unreadable,
         }
     }
 
-    /// The rate, where one was read.
+    /// The declared rate, if there is one that could be parsed.
     pub fn rate(self) -> Option<RequestRate> {
         match self {
-            NamedLimit::Of(rate) => Some(rate),
-            NamedLimit::NotTold | NamedLimit::Unreadable => None,
+            DeclaredLimit::Of(rate) => Some(rate),
+            DeclaredLimit::Absent | DeclaredLimit::Unreadable => None,
         }
     }
 }
 
-/// What one answer says of its backend server.
+/// The notice of one answer about its backend server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ServerNotice {
-    /// It leaves.
+    /// The server is draining.
     pub is_leaving: bool,
-    /// It turned the request away, and names a time to come back.
+    /// The time after which to retry, if the server rejected the request.
     pub retry_after: RetryAfter,
-    /// What it takes from all instances together, whatever became of the request.
-    pub limit: NamedLimit,
+    /// The declared limit for all instances together, whatever the result of the request.
+    pub limit: DeclaredLimit,
 }
 
 impl ServerNotice {
-    /// Reads the notice of an answer. A time to come back counts only where the request was
-    /// turned away: anywhere else it speaks of the request.
+    /// Reads the notice of an answer. `Retry-After` counts only if the request was rejected: in
+    /// other answers it refers to the request and not to the server.
     pub fn of(
         status: u16,
         is_leaving: bool,
         retry_after: Option<&str>,
         limit: Option<&str>,
     ) -> ServerNotice {
-        let turns_away = matches!(status, UNAVAILABLE | TOO_MANY_REQUESTS);
-        let retry_after = retry_after.filter(|_| turns_away);
+        let is_rejection = matches!(status, UNAVAILABLE | TOO_MANY_REQUESTS);
+        let retry_after = retry_after.filter(|_| is_rejection);
         ServerNotice {
             is_leaving,
-            retry_after: retry_after.map_or(RetryAfter::NotTold, RetryAfter::parse),
-            limit: limit.map_or(NamedLimit::NotTold, NamedLimit::parse),
+            retry_after: retry_after.map_or(RetryAfter::Absent, RetryAfter::parse),
+            limit: limit.map_or(DeclaredLimit::Absent, DeclaredLimit::parse),
         }
     }
 
-    /// How long the server wants nothing from whom it answered; `None` when it asks for no
-    /// rest, or for one of no length.
+    /// The backoff that the server requests from the instance that it answered; `None` if it
+    /// requests none or one of zero length.
     pub fn rest(&self) -> Option<Duration> {
         match self.retry_after {
-            RetryAfter::In(rest) if !rest.is_zero() => Some(rest),
+            RetryAfter::In(backoff) if !backoff.is_zero() => Some(backoff),
             _ => None,
         }
     }
 
-    /// Whether it says something that can't be read.
+    /// Whether a value of the notice can't be parsed.
     pub fn is_unreadable(&self) -> bool {
-        self.retry_after == RetryAfter::Unreadable || self.limit == NamedLimit::Unreadable
+        self.retry_after == RetryAfter::Unreadable || self.limit == DeclaredLimit::Unreadable
     }
 
-    /// Whether it says nothing.
+    /// Whether the notice is empty.
     pub fn is_empty(&self) -> bool {
         *self == ServerNotice::default()
     }
 }
 
-/// What one answer said of its server, with what orders it among other answers.
+/// The notice of one answer, with the data that orders it among other answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HeardNotice {
-    /// What it said.
+pub struct ObservedNotice {
+    /// The notice.
     pub notice: ServerNotice,
-    /// When what it answers was sent.
+    /// When the answered request was sent.
     pub sent_at: Now,
-    /// Whether the server would have named its limit in this answer: one that it names no
-    /// more it doesn't have. Answers to orders and questions don't say so, nor do failures and
-    /// refusals, which another program may have given.
-    pub tells_limits: bool,
+    /// Whether the server would have declared its limit in this answer, so that a missing limit
+    /// means that there is none. False for answers to orders and queries, and for failures and
+    /// refusals, which may come from another program.
+    pub reports_limits: bool,
 }
--- a/crates/core/tests/gateway_ending.rs
+++ b/crates/core/tests/gateway_ending.rs
@@ -248,7 +248,7 @@
 }
 
 /// What another instance saw of the content at fault.
-fn one_end_more() -> Vec<iristhread_core::ToldSuspect> {
+fn one_end_more() -> Vec<iristhread_core::AdvertisedSuspect> {
     let mut other = control_with(&["g"]);
     ends_its_engine(&mut other, NOW + ms(4_000), "elsewhere");
     other.told_suspects(NOW + ms(4_500))
--- a/crates/core/tests/gateway_notices.rs
+++ b/crates/core/tests/gateway_notices.rs
@@ -5,9 +5,9 @@
 
 use std::time::Duration;
 
+use iristhread_core::DeclaredLimit;
 use iristhread_core::GatewayControl;
 use iristhread_core::ListedState;
-use iristhread_core::NamedLimit;
 use iristhread_core::Now;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
@@ -27,15 +27,15 @@
 
 const LEAVES: ServerNotice = ServerNotice {
     is_leaving: true,
-    retry_after: RetryAfter::NotTold,
-    limit: NamedLimit::NotTold,
+    retry_after: RetryAfter::Absent,
+    limit: DeclaredLimit::Absent,
 };
 
 fn rest(time: Duration) -> ServerNotice {
     ServerNotice {
         is_leaving: false,
         retry_after: RetryAfter::In(time),
-        limit: NamedLimit::NotTold,
+        limit: DeclaredLimit::Absent,
     }
 }
 
--- a/crates/core/tests/gateway_scene/mod.rs
+++ b/crates/core/tests/gateway_scene/mod.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use iristhread_core::CallerLimits;
-use iristhread_core::Content;
 use iristhread_core::EngineTraits;
 use iristhread_core::Fingerprint;
+use iristhread_core::FingerprintInput;
 use iristhread_core::GatewayConfig;
 use iristhread_core::GatewayControl;
 use iristhread_core::GatewayService;
@@ -151,7 +151,7 @@
 
 /// The content of a request whose body is `body`.
 pub fn fingerprint(body: &str) -> Fingerprint {
-    Fingerprint::of(&Content {
+    Fingerprint::of(&FingerprintInput {
         workspace: Some("one"),
         method: "POST",
         host: "shop.example",
--- a/crates/core/tests/limit_scene/mod.rs
+++ b/crates/core/tests/limit_scene/mod.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::DeclaredLimit;
 use iristhread_core::GatewayControl;
 use iristhread_core::GatewayTerms;
-use iristhread_core::HeardNotice;
-use iristhread_core::NamedLimit;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Replica;
 use iristhread_core::RunEnd;
 use iristhread_core::ServerNotice;
@@ -27,22 +27,22 @@
 /// The span in which what reaches a server is counted.
 pub const SPAN: Duration = Duration::from_secs(4);
 
-pub fn names_limit(per_s: &str, sent_at: Now) -> HeardNotice {
-    HeardNotice {
+pub fn names_limit(per_s: &str, sent_at: Now) -> ObservedNotice {
+    ObservedNotice {
         notice: ServerNotice {
-            limit: NamedLimit::parse(per_s),
+            limit: DeclaredLimit::parse(per_s),
             ..ServerNotice::default()
         },
         sent_at,
-        tells_limits: true,
+        reports_limits: true,
     }
 }
 
-pub fn names_none(sent_at: Now) -> HeardNotice {
-    HeardNotice {
+pub fn names_none(sent_at: Now) -> ObservedNotice {
+    ObservedNotice {
         notice: ServerNotice::default(),
         sent_at,
-        tells_limits: true,
+        reports_limits: true,
     }
 }
 
--- a/crates/core/tests/suspicions.rs
+++ b/crates/core/tests/suspicions.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::Fingerprint;
 use iristhread_core::LifeId;
 use iristhread_core::Now;
-use iristhread_core::ServerEnd;
+use iristhread_core::ServerCrash;
 use iristhread_core::Suspicions;
-use iristhread_core::ToldSuspect;
 use iristhread_core::Verdict;
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -32,7 +32,7 @@
 }
 
 fn ended(book: &mut Suspicions, content: Fingerprint, life: LifeId, at: Now) {
-    book.server_ended(at, content, None, ServerEnd { life, at });
+    book.server_ended(at, content, None, ServerCrash { life, at });
 }
 
 /// A server ends every 300 ms under a content.
@@ -43,7 +43,7 @@
 }
 
 fn is_free(book: &Suspicions, content: Fingerprint) -> bool {
-    book.verdict(content) == Verdict::Free
+    book.verdict(content) == Verdict::Allowed
 }
 
 /// Tells one book what another knows.
@@ -97,11 +97,11 @@
 #[test_case(Some(START - ms(500)), 300, false; "ran lately, one after the other")]
 #[test_case(Some(START - ms(70_000)), 0, false; "ran long ago")]
 #[test_case(None, 0, false; "never ran")]
-fn alike_requests_on_many_servers(proven_at: Option<Now>, apart_ms: u64, is_sent: bool) {
+fn alike_requests_on_many_servers(known_good_at: Option<Now>, apart_ms: u64, is_sent: bool) {
     let mut book = Suspicions::default();
     for life in 0..6 {
         let at = START + ms(life * apart_ms);
-        book.server_ended(at, at_fault(), proven_at, ServerEnd { life, at });
+        book.server_ended(at, at_fault(), known_good_at, ServerCrash { life, at });
     }
     assert_eq!(is_free(&book, at_fault()), is_sent);
 }
@@ -234,7 +234,7 @@
         rotation in 0_usize..24,
         repeats in 1_usize..3,
     ) {
-        let tellers: Vec<Vec<ToldSuspect>> = seen.iter().map(|(proves, number, life)| {
+        let tellers: Vec<Vec<AdvertisedSuspect>> = seen.iter().map(|(proves, number, life)| {
             let mut book = Suspicions::default();
             let what = content(1, u128::from(*number));
             let at = START + ms(500 * *life);
@@ -250,7 +250,7 @@
             one.hear(START + ms(3_000), None, told);
         }
         for _ in 0..repeats {
-            let mut turned: Vec<&ToldSuspect> = tellers.iter().flatten().collect();
+            let mut turned: Vec<&AdvertisedSuspect> = tellers.iter().flatten().collect();
             let places = rotation % turned.len().max(1);
             turned.rotate_left(places);
             for told in turned.into_iter().rev() {
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -3,6 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLimit;
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::BackendId;
 use iristhread_core::CarryTarget;
 use iristhread_core::ConfigVersion;
@@ -10,9 +12,9 @@
 use iristhread_core::EvacuationNews;
 use iristhread_core::GatewayConfig;
 use iristhread_core::GatewayTerms;
-use iristhread_core::HeardNotice;
 use iristhread_core::KnownVersions;
 use iristhread_core::LoadShares;
+use iristhread_core::ObservedNotice;
 use iristhread_core::PlacementAsk;
 use iristhread_core::Ranking;
 use iristhread_core::Refusal;
@@ -23,10 +25,8 @@
 use iristhread_core::ServerLife;
 use iristhread_core::SessionSignal;
 use iristhread_core::ToldEvacuations;
-use iristhread_core::ToldLimit;
 use iristhread_core::ToldList;
 use iristhread_core::ToldLoads;
-use iristhread_core::ToldSuspect;
 use iristhread_core::ZoneDigest;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -48,14 +48,14 @@
     /// Replicas that told it lately that they leave.
     pub said_leaving: Vec<ServerLife>,
     /// Limits that replicas named; none where the state is not for a heartbeat.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<AdvertisedLimit>,
     /// Replicas that took no connection of it lately.
     pub unreachable: Vec<ServerLife>,
     /// The evacuated zones.
     pub evacuations: ToldEvacuations,
     /// Contents that are suspected to end backend servers; none where the state is not
     /// for a heartbeat.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<AdvertisedSuspect>,
 }
 
 impl OwnState {
@@ -152,7 +152,7 @@
     /// A peer tells which contents it suspects to end backend servers.
     SuspectsHeard {
         /// The contents.
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<AdvertisedSuspect>,
     },
     /// A session has come this far.
     Progress {
@@ -221,7 +221,7 @@
         /// The replica.
         replica: ServerLife,
         /// What it said.
-        heard: HeardNotice,
+        heard: ObservedNotice,
     },
     /// May something be sent to a replica that named a limit?
     MaySend {
@@ -235,7 +235,7 @@
     /// A peer tells of limits that replicas named.
     LimitsHeard {
         /// The limits.
-        limits: Vec<ToldLimit>,
+        limits: Vec<AdvertisedLimit>,
         /// The peer.
         source: String,
     },
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -10,11 +10,11 @@
 use iristhread_core::EvacuationNews;
 use iristhread_core::Fingerprint;
 use iristhread_core::GatewayConfig;
-use iristhread_core::HeardNotice;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Revision;
 use iristhread_core::ServerLife;
 use iristhread_core::SessionSignal;
-use iristhread_core::SuspicionNews;
+use iristhread_core::SuspicionUpdate;
 use slog::debug;
 use slog::info;
 use slog::warn;
@@ -101,7 +101,7 @@
     }
 
     /// What an answer said binds this instance from now on.
-    pub(super) fn noticed(&mut self, server: &ServerLife, heard: &HeardNotice) {
+    pub(super) fn noticed(&mut self, server: &ServerLife, heard: &ObservedNotice) {
         let now = self.clock.now();
         let notice = &heard.notice;
         let change = self.control.limit_noticed(now, server, heard);
@@ -261,11 +261,11 @@
             self.news.notify_one();
         }
         for news in news {
-            if matches!(news, SuspicionNews::Ended { .. }) {
+            if matches!(news, SuspicionUpdate::Ended { .. }) {
                 self.metrics.server_ended();
             }
             log_suspicion(&self.log, self.clock.now(), &news);
-            if let SuspicionNews::Quarantined { fingerprint, .. } = news {
+            if let SuspicionUpdate::Quarantined { fingerprint, .. } = news {
                 self.withdraw(fingerprint);
             }
         }
--- a/crates/daemon/src/gateway/gateway_thread/limits.rs
+++ b/crates/daemon/src/gateway/gateway_thread/limits.rs
@@ -1,9 +1,9 @@
 //! What the control thread does with the limits that backend servers name.
 
+use iristhread_core::AdvertisedLimit;
 use iristhread_core::LimitChange;
 use iristhread_core::Ranking;
 use iristhread_core::ServerLife;
-use iristhread_core::ToldLimit;
 use slog::info;
 
 use super::GatewayThread;
@@ -15,7 +15,7 @@
 const WITHHELD: &str = "withheld";
 
 impl GatewayThread {
-    pub(super) fn limits_heard(&mut self, limits: Vec<ToldLimit>, source: &str) {
+    pub(super) fn limits_heard(&mut self, limits: Vec<AdvertisedLimit>, source: &str) {
         let now = self.clock.now();
         for (server, change) in self.control.hear_limits(now, limits) {
             self.limit_changed(&server, Some(change), Some(source));
--- a/crates/daemon/src/relaying/exchange.rs
+++ b/crates/daemon/src/relaying/exchange.rs
@@ -15,8 +15,8 @@
 use hyper::body::Incoming;
 use iristhread_api::HttpClientError;
 use iristhread_core::Fingerprint;
-use iristhread_core::HeardNotice;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::PlacementAsk;
 use iristhread_core::Ranking;
 use iristhread_core::RegionId;
@@ -315,10 +315,10 @@
             None => head.is_not_run,
         };
         // Also when the answer is no answer of this request: the connection is its own.
-        let heard = HeardNotice {
+        let heard = ObservedNotice {
             notice: head.notice,
             sent_at,
-            tells_limits: is_ours && head.is_stamped && parts.status.is_success(),
+            reports_limits: is_ours && head.is_stamped && parts.status.is_success(),
         };
         let notices = &self.app.notices;
         notices.heard(replica, heard, &self.head.request);
