--- a/crates/core/src/limits/server_limits.rs
+++ b/crates/core/src/limits/server_limits.rs
@@ -1,4 +1,4 @@
-//! The limits that backend servers named, and what this instance may send under them.
+//! The rate limits that backend servers declared, and what this instance may send under them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,309 +18,340 @@
 use crate::RequestRate;
 use crate::ServerLife;
 
-/// How long a grant holds: a request that its process sends later, after standing still,
-/// would count in a span for which others were granted as much.
+/// Lifetime of a grant: a request that is sent later, because the process was suspended, would
+/// count in a period for which other instances were granted as much.
 const GRANT_LIFETIME: Duration = Duration::from_secs(1);
 
-/// How long the others are told that a limit is no more: several heartbeats, two of which may
-/// be lost.
-const WITHDRAWAL_TOLD_FOR: Duration = Duration::from_secs(10);
+/// How long the withdrawal of a limit is advertised: several heartbeats, two of which may be
+/// lost.
+const WITHDRAWAL_ADVERTISED_FOR: Duration = Duration::from_secs(10);
 
-/// How long a word about a life that is listed no more is kept: past any outage after which
-/// its entry is back.
-const KEPT_UNLISTED: Duration = Duration::from_secs(60);
+/// How long the limit of an incarnation that is no longer listed is kept: longer than any outage
+/// after which its entry returns.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// Time beyond which callers are not queued: most that are told to wait for longer never come
-/// back, and later ones would wait for turns that nobody takes.
-const LONGEST_QUEUE: Duration = Duration::from_secs(5);
+/// Maximum time until a reserved turn: most callers that are told to wait longer never retry, and
+/// later callers would wait for turns that nobody uses.
+const MAX_RESERVED_WAIT: Duration = Duration::from_secs(5);
 
-/// Most limits that one heartbeat tells, so that its size is bounded where hundreds of
-/// servers are limited; they are told by turns.
-const MOST_TOLD: usize = 8;
+/// Maximum number of limits in one heartbeat, so that its size is bounded where hundreds of
+/// servers are limited; they are advertised in rotation.
+const MAX_ADVERTISED_PER_HEARTBEAT: usize = 8;
 
-/// What an instance tells the others of a server's limit.
+/// The limit of a server as instances advertise it to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdvertisedLimit {
-    /// The server.
+    /// The incarnation of the server.
     pub server: ServerLife,
-    /// Its limit, `None` if it names none any more.
+    /// Its limit; `None` if it no longer declares one.
     pub limit: Option<RequestRate>,
-    /// Milliseconds since an answer said so.
+    /// Milliseconds since an answer declared it.
     pub age_ms: u64,
 }
 
-/// A change of what is believed of a server's limit.
+/// A change of a server's limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitChange {
-    /// It takes so many requests a second of all instances together.
+    /// The server accepts this rate of requests from all instances together.
     Limited(RequestRate),
-    /// It names a limit no more.
+    /// The server no longer declares a limit.
     Withdrawn,
 }
 
-/// What an answer said of a limit.
+/// The limit that an answer declared.
 #[derive(Clone, Copy, Debug)]
-struct Word {
-    /// The limit, `None` where it named none any more.
+struct Observation {
+    /// The limit; `None` if the answer declared none any more.
     limit: Option<RequestRate>,
-    /// When the answer was heard, here or elsewhere.
-    heard_at: Now,
-    /// Whether it was an answer to this instance.
+    /// When the answer was received, by this instance or by another one.
+    observed_at: Now,
+    /// Whether this instance received the answer.
     is_own: bool,
 }
 
-/// What is known of the limit of one life of a server.
+/// State of the limit of one server incarnation.
 #[derive(Clone, Debug)]
-struct KnownLimit {
+struct LimitEntry {
     server: ServerLife,
-    /// The latest word.
-    word: Word,
-    /// When this instance learnt that there is a limit.
+    /// The latest observation.
+    observation: Observation,
+    /// When this instance learnt that the server is limited.
     limited_since: Now,
-    /// When the others were told last.
-    told_at: Option<Now>,
+    /// When the limit was last advertised to the other instances.
+    advertised_at: Option<Now>,
     share: LimitShare,
-    /// Until when callers that were refused because of it were told to wait.
+    /// Until when refused callers were told to wait for their turns.
     reserved_until: Now,
 }
 
-/// A request that may be sent.
+/// Permission to send a request to an incarnation.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    life: LifeId,
+    incarnation: LifeId,
     at: Now,
 }
 
-/// The limits by life.
+/// The limits of backend servers, by incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    by_life: BTreeMap<LifeId, KnownLimit>,
+    by_incarnation: BTreeMap<LifeId, LimitEntry>,
     grants: HashMap<RequestId, Grant>,
     version: u64,
-    terms: LimitParameters,
+    parameters: LimitParameters,
 }
 
 impl ServerLimits {
-    /// Changes what the shares of limits go by that are named from now on.
-    pub fn set_terms(&mut self, terms: LimitParameters) {
-        self.terms = terms;
+    /// Sets the parameters of the shares of limits that are declared from now on.
+    pub fn set_terms(&mut self, parameters: LimitParameters) {
+        self.parameters = parameters;
     }
 
-    /// Notes what an answer to a request, sent at `sent_at`, says; `earned` is drawn by
-    /// chance, from 0 to 1.
+    /// Applies the limit that an answer to a request declares; the request was sent at `sent_at`.
+    /// `credit` is the initial credit of the share, drawn at random from 0 to 1.
     ///
-    /// Answers overtake each other. An answer is later than all that was heard before its
-    /// request was sent; where that can't be said of two answers, the lower limit counts.
+    /// Answers may arrive out of order. An answer is later than everything that was received
+    /// before its request was sent; if neither of two answers is later, the lower limit applies.
     pub fn heard(
         &mut self,
         now: Now,
         server: &ServerLife,
-        named: DeclaredLimit,
+        declared: DeclaredLimit,
         sent_at: Now,
-        earned: f64,
+        credit: f64,
     ) -> Option<LimitChange> {
-        let limit = match named {
+        let limit = match declared {
             DeclaredLimit::Unreadable => return None,
             DeclaredLimit::Absent => None,
             DeclaredLimit::Of(rate) => Some(rate),
         };
-        let known = self.by_life.get(&server.life);
-        let is_later = known.is_none_or(|known| sent_at >= known.word.heard_at);
+        let known = self.by_incarnation.get(&server.life);
+        let is_later = known.is_none_or(|known| sent_at >= known.observation.observed_at);
         let is_lower = limit.is_some_and(|limit| {
-            let known = known.and_then(|known| known.word.limit);
+            let known = known.and_then(|known| known.observation.limit);
             known.is_none_or(|known| limit <= known)
         });
-        let says_nothing = known.is_none() && limit.is_none();
-        if says_nothing || !(is_later || is_lower) {
+        let is_irrelevant = known.is_none() && limit.is_none();
+        if is_irrelevant || !(is_later || is_lower) {
             return None;
         }
-        let word = Word {
+        let observation = Observation {
             limit,
-            heard_at: now,
+            observed_at: now,
             is_own: true,
         };
-        self.set(now, server, word, earned)
+        self.set(now, server, observation, credit)
     }
 
-    /// Notes what another instance tells.
+    /// Applies a limit that another instance advertises. `credit` is the initial credit of the
+    /// share, drawn at random from 0 to 1.
     pub fn apply_advertised(
         &mut self,
         now: Now,
-        told: &AdvertisedLimit,
-        earned: f64,
+        advertised: &AdvertisedLimit,
+        credit: f64,
     ) -> Option<LimitChange> {
-        let heard_at = FleetMembers::confirmed_at(now, Duration::from_millis(told.age_ms));
-        let known = self.by_life.get(&told.server.life);
-        // Two relays that took the same word from each other would make it younger for ever.
-        let is_known = |word: Word| word.heard_at >= heard_at || word.limit == told.limit;
-        if known.is_some_and(|known| is_known(known.word)) {
+        let observed_at = FleetMembers::confirmed_at(now, Duration::from_millis(advertised.age_ms));
+        let known = self.by_incarnation.get(&advertised.server.life);
+        // Two relays that accepted the same observation from each other would refresh its age for
+        // ever.
+        let is_known = |observation: Observation| {
+            observation.observed_at >= observed_at || observation.limit == advertised.limit
+        };
+        if known.is_some_and(|known| is_known(known.observation)) {
             return None;
         }
-        let word = Word {
-            limit: told.limit,
-            heard_at,
+        let observation = Observation {
+            limit: advertised.limit,
+            observed_at,
             is_own: false,
         };
-        self.set(now, &told.server, word, earned)
+        self.set(now, &advertised.server, observation, credit)
     }
 
     fn set(
         &mut self,
         now: Now,
         server: &ServerLife,
-        word: Word,
-        earned: f64,
+        observation: Observation,
+        credit: f64,
     ) -> Option<LimitChange> {
-        let terms = self.terms;
-        let entry = self.by_life.entry(server.life);
-        let known = entry.or_insert_with(|| KnownLimit {
+        let parameters = self.parameters;
+        let slot = self.by_incarnation.entry(server.life);
+        let known = slot.or_insert_with(|| LimitEntry {
             server: server.clone(),
-            word: Word {
+            observation: Observation {
                 limit: None,
-                ..word
+                ..observation
             },
             limited_since: now,
-            told_at: None,
-            share: LimitShare::new(now, terms, earned),
+            advertised_at: None,
+            share: LimitShare::new(now, parameters, credit),
             reserved_until: Now::ZERO,
         });
-        let before = std::mem::replace(&mut known.word, word).limit;
-        if before == word.limit {
+        let before = std::mem::replace(&mut known.observation, observation).limit;
+        if before == observation.limit {
             return None;
         }
         if before.is_none() {
             known.limited_since = now;
-            known.share = LimitShare::new(now, terms, earned);
+            known.share = LimitShare::new(now, parameters, credit);
         }
-        known.told_at = None;
+        known.advertised_at = None;
         self.version += 1;
         Some(
-            word.limit
+            observation
+                .limit
                 .map_or(LimitChange::Withdrawn, LimitChange::Limited),
         )
     }
 
-    /// Whether a server is limited now.
-    pub fn has(&self, life: LifeId) -> bool {
-        self.limit_of(life).is_some()
+    /// Whether an incarnation is limited now.
+    pub fn has(&self, incarnation: LifeId) -> bool {
+        self.limit_of(incarnation).is_some()
     }
 
-    /// Its limit.
-    pub fn limit_of(&self, life: LifeId) -> Option<RequestRate> {
-        self.by_life.get(&life)?.word.limit
+    /// The limit of an incarnation, if it has one.
+    pub fn limit_of(&self, incarnation: LifeId) -> Option<RequestRate> {
+        self.by_incarnation.get(&incarnation)?.observation.limit
     }
 
-    /// When this instance learnt that a life has a limit, if it has one.
-    pub fn limited_since(&self, life: LifeId) -> Option<Now> {
-        let known = self.by_life.get(&life)?;
-        known.word.limit.map(|_| known.limited_since)
+    /// When this instance learnt that an incarnation is limited, if it is.
+    pub fn limited_since(&self, incarnation: LifeId) -> Option<Now> {
+        let known = self.by_incarnation.get(&incarnation)?;
+        known.observation.limit.map(|_| known.limited_since)
     }
 
-    /// Lives that are limited now.
+    /// Incarnations that are limited now.
     pub fn lives(&self) -> BTreeSet<LifeId> {
-        let limited = self.by_life.iter();
-        let limited = limited.filter(|(_, known)| known.word.limit.is_some());
-        limited.map(|(life, _)| *life).collect()
+        let limited = self.by_incarnation.iter();
+        let limited = limited.filter(|(_, known)| known.observation.limit.is_some());
+        limited.map(|(incarnation, _)| *incarnation).collect()
     }
 
-    /// Rises whenever another life is limited, or one has another limit.
+    /// Version of the limits; increases with each change of a limit.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether something may be sent to a life now, of which the others want `others`: an
-    /// unlimited one gets all.
-    pub fn request_grant(&mut self, now: Now, life: LifeId, others: RequestRate) -> bool {
-        let Some(known) = self.by_life.get_mut(&life) else {
+    /// Counts a request towards the demand for an incarnation; returns whether it may be sent now.
+    /// `others` is the demand of the other instances. Without a limit, every request may be sent.
+    pub fn request_grant(&mut self, now: Now, incarnation: LifeId, others: RequestRate) -> bool {
+        let Some(known) = self.by_incarnation.get_mut(&incarnation) else {
             return true;
         };
-        let limit = known.word.limit;
+        let limit = known.observation.limit;
         limit.is_none_or(|limit| known.share.request_grant(now, limit, others))
     }
 
-    /// Keeps the grant of a request that is sent a little later.
-    pub fn keep_grant(&mut self, now: Now, request: &str, life: LifeId) {
-        if self.has(life) {
-            let grant = Grant { life, at: now };
+    /// Stores the grant of a request that is sent shortly afterwards, if the incarnation has a
+    /// limit.
+    pub fn keep_grant(&mut self, now: Now, request: &str, incarnation: LifeId) {
+        if self.has(incarnation) {
+            let grant = Grant {
+                incarnation,
+                at: now,
+            };
             self.grants.insert(request.to_owned(), grant);
         }
     }
 
-    /// Uses the grant of a request, if it has one for this life.
-    pub fn consume_grant(&mut self, now: Now, request: &str, life: LifeId) -> bool {
+    /// Removes the grant of a request; returns whether it was valid for this incarnation.
+    pub fn consume_grant(&mut self, now: Now, request: &str, incarnation: LifeId) -> bool {
         let grant = self.grants.remove(request);
         let holds = |grant: &Grant| now.saturating_sub(grant.at) < GRANT_LIFETIME;
-        grant.filter(holds).is_some_and(|grant| grant.life == life)
+        grant
+            .filter(holds)
+            .is_some_and(|grant| grant.incarnation == incarnation)
     }
 
-    /// Drops the grant of a request that is not sent.
+    /// Removes the grant of a request that is not sent.
     pub fn drop_grant(&mut self, request: &str) {
         self.grants.remove(request);
     }
 
-    /// What this instance wishes to send to a life.
-    pub fn wanted(&self, now: Now, life: LifeId) -> RequestRate {
-        let known = self.by_life.get(&life);
+    /// Demand of this instance for an incarnation.
+    pub fn wanted(&self, now: Now, incarnation: LifeId) -> RequestRate {
+        let known = self.by_incarnation.get(&incarnation);
         known.map_or(RequestRate::ZERO, |known| known.share.wanted(now))
     }
 
-    /// Drops what is known of a life that has ended.
-    pub fn forget(&mut self, life: LifeId) {
-        let was_known = self.by_life.remove(&life).is_some();
+    /// Removes the limit of an incarnation that has ended.
+    pub fn forget(&mut self, incarnation: LifeId) {
+        let was_known = self.by_incarnation.remove(&incarnation).is_some();
         self.version += u64::from(was_known);
     }
 
-    /// What this instance wishes for, by server, and as which the others hear it.
+    /// Returns the demand of this instance by server id, and records it as advertised to the
+    /// others.
     pub fn advertise_demand(&mut self, now: Now) -> Vec<(String, RequestRate)> {
-        let limited = self.by_life.values_mut().filter(|k| k.word.limit.is_some());
-        let told = limited.map(|known| (known.server.id.clone(), known.share.tell(now)));
-        told.filter(|(_, wanted)| !wanted.is_zero()).collect()
+        let limited = self
+            .by_incarnation
+            .values_mut()
+            .filter(|k| k.observation.limit.is_some());
+        let advertised = limited.map(|known| (known.server.id.clone(), known.share.tell(now)));
+        advertised.filter(|(_, demand)| !demand.is_zero()).collect()
     }
 
-    /// What all limited servers together take of all instances.
+    /// Sum of the limits of all servers.
     pub fn sum(&self) -> RequestRate {
-        let limits = self.by_life.values().filter_map(|known| known.word.limit);
+        let limits = self
+            .by_incarnation
+            .values()
+            .filter_map(|known| known.observation.limit);
         limits.fold(RequestRate::ZERO, RequestRate::plus)
     }
 
-    /// Whether nothing is known of any limit.
+    /// Whether no limits are stored.
     pub fn is_empty(&self) -> bool {
-        self.by_life.is_empty()
+        self.by_incarnation.is_empty()
     }
 
-    /// Whether the others should hear at once what this instance wishes for.
+    /// Whether a demand has risen enough to be advertised immediately.
     pub fn is_news(&self, now: Now) -> bool {
-        let mut limited = self.by_life.values().filter(|k| k.word.limit.is_some());
+        let mut limited = self
+            .by_incarnation
+            .values()
+            .filter(|k| k.observation.limit.is_some());
         limited.any(|known| known.share.is_news(now))
     }
 
-    /// What to tell the others now: what this instance was told itself, or by a relay also
-    /// what it has heard.
+    /// Returns the limits to advertise now: those that this instance observed itself and, if it is
+    /// a relay, also those that it received from other instances.
     pub fn told(&mut self, now: Now, is_relay: bool) -> Vec<AdvertisedLimit> {
-        let age = |known: &KnownLimit| now.saturating_sub(known.word.heard_at);
-        let is_told = |known: &&mut KnownLimit| {
-            let is_recent = known.word.limit.is_some() || age(known) < WITHDRAWAL_TOLD_FOR;
-            (known.word.is_own || is_relay) && is_recent
+        let age = |known: &LimitEntry| now.saturating_sub(known.observation.observed_at);
+        let is_advertised = |known: &&mut LimitEntry| {
+            let is_recent =
+                known.observation.limit.is_some() || age(known) < WITHDRAWAL_ADVERTISED_FOR;
+            (known.observation.is_own || is_relay) && is_recent
         };
-        let mut due: Vec<&mut KnownLimit> = self.by_life.values_mut().filter(is_told).collect();
-        due.sort_by_key(|known| known.told_at);
-        due.truncate(MOST_TOLD);
-        let told = due.into_iter().map(|known| {
-            known.told_at = Some(now);
+        let mut due: Vec<&mut LimitEntry> = self
+            .by_incarnation
+            .values_mut()
+            .filter(is_advertised)
+            .collect();
+        due.sort_by_key(|known| known.advertised_at);
+        due.truncate(MAX_ADVERTISED_PER_HEARTBEAT);
+        let advertised = due.into_iter().map(|known| {
+            known.advertised_at = Some(now);
             AdvertisedLimit {
                 server: known.server.clone(),
-                limit: known.word.limit,
+                limit: known.observation.limit,
                 age_ms: age(known).as_millis() as u64,
             }
         });
-        told.collect()
+        advertised.collect()
     }
 
-    /// Time until this instance may send a life one request more than were told to wait for
-    /// it; `None` if it may send now.
-    pub fn time_until_turn(&self, now: Now, life: LifeId, others: RequestRate) -> Option<Duration> {
-        let known = self.by_life.get(&life)?;
-        let limit = known.word.limit?;
+    /// Time until this instance may send an incarnation one request more than those that were told
+    /// to wait for it; `None` if the incarnation has no limit or grants every request now.
+    pub fn time_until_turn(
+        &self,
+        now: Now,
+        incarnation: LifeId,
+        others: RequestRate,
+    ) -> Option<Duration> {
+        let known = self.by_incarnation.get(&incarnation)?;
+        let limit = known.observation.limit?;
         if known.share.part(now, limit, others) >= 1.0 {
             return None;
         }
@@ -328,29 +359,28 @@
         let second = known.share.time_until_grants(now, limit, others, 2);
         let spacing = second.saturating_sub(first);
         let next = (known.reserved_until + spacing).saturating_sub(now);
-        Some(first.max(next.min(LONGEST_QUEUE)))
+        Some(first.max(next.min(MAX_RESERVED_WAIT)))
     }
 
-    /// Notes that a caller was told to come back after so long; the next one is told a later
-    /// time.
-    pub fn reserve_turn(&mut self, now: Now, life: LifeId, left: Duration) {
-        if let Some(known) = self.by_life.get_mut(&life) {
+    /// Records that a caller was told to retry after `left`; the next one is told a later time.
+    pub fn reserve_turn(&mut self, now: Now, incarnation: LifeId, left: Duration) {
+        if let Some(known) = self.by_incarnation.get_mut(&incarnation) {
             known.reserved_until = now + left;
         }
     }
 
-    /// Drops what is known of lives that are long gone, and grants that were not used.
+    /// Removes the limits of incarnations that have been gone for long, and expired grants.
     pub fn expire(&mut self, now: Now, is_listed: impl Fn(LifeId) -> bool) {
         self.grants
             .retain(|_, grant| now.saturating_sub(grant.at) < GRANT_LIFETIME);
-        let before = self.by_life.len();
-        self.by_life.retain(|life, known| {
-            let age = now.saturating_sub(known.word.heard_at);
-            match known.word.limit {
-                Some(_) => is_listed(*life) || age < KEPT_UNLISTED,
-                None => age < KEPT_UNLISTED,
+        let before = self.by_incarnation.len();
+        self.by_incarnation.retain(|incarnation, known| {
+            let age = now.saturating_sub(known.observation.observed_at);
+            match known.observation.limit {
+                Some(_) => is_listed(*incarnation) || age < UNLISTED_RETENTION,
+                None => age < UNLISTED_RETENTION,
             }
         });
-        self.version += u64::from(self.by_life.len() != before);
+        self.version += u64::from(self.by_incarnation.len() != before);
     }
 }
--- a/crates/core/src/servers/suspect.rs
+++ b/crates/core/src/servers/suspect.rs
@@ -1,130 +1,139 @@
-//! The content of a request under which backend servers have ended.
+//! A suspected request fingerprint: backend servers crashed while they ran such a request.
 
 use std::time::Duration;
 
 use crate::LifeId;
 use crate::Now;
 
-/// Time after its first event from which on a stream is taken to have run well where it
-/// is: a request at fault ends its server soon after that has begun with it.
+/// Time after the first event at which a stream counts as known-good on its server: a poison
+/// request crashes its server soon after the server has burst_started_at to run it.
 pub const KNOWN_GOOD_AFTER: Duration = Duration::from_secs(1);
 
-/// Ends that are remembered of one content; the latest count.
-const MOST_ENDS: usize = 32;
+/// Maximum number of crashes stored per fingerprint; the latest are kept.
+const MAX_CRASHES: usize = 32;
 
-/// Ends within this time are one moment: many servers that are killed at once end within
-/// milliseconds, and instances see it up to a heartbeat apart.
-const MOMENT: Duration = Duration::from_millis(250);
+/// Crashes within this time are one crash burst: many servers that are killed together crash within
+/// milliseconds of each other, and instances observe it up to a heartbeat apart.
+const CRASH_BURST_WINDOW: Duration = Duration::from_millis(250);
 
-/// How long a content that ran well is taken for one that many callers send: their
-/// requests are on many servers at once, and all of these may end for another cause.
-const PROOF_LASTS: Duration = Duration::from_secs(60);
+/// How long a fingerprint that ran well is assumed to be sent by many callers: their requests are
+/// on many servers at once, and all of these may crash for another reason.
+const KNOWN_GOOD_LIFETIME: Duration = Duration::from_secs(60);
 
-/// The end of one life of a backend server.
+/// The crash of one incarnation of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ServerCrash {
-    /// The life.
+    /// The incarnation.
     pub life: LifeId,
-    /// When it was seen first.
+    /// When the crash was first observed.
     pub at: Now,
 }
 
-/// What is known of one content.
+/// State of one suspected request fingerprint.
 #[derive(Clone, Debug)]
 pub struct Suspect {
-    /// Oldest first.
-    ends: Vec<ServerCrash>,
-    /// When a request with it last ran well.
+    /// Crashes that count, oldest first.
+    crashes: Vec<ServerCrash>,
+    /// When a request with this fingerprint last ran well.
     known_good_at: Option<Now>,
-    /// When something of this became known.
+    /// When this state last changed.
     changed_at: Now,
 }
 
 impl Suspect {
-    /// Nothing speaks against it yet; it last ran well at a time.
+    /// Creates a state without crashes; `known_good_at` is when a request last ran well.
     pub fn new(now: Now, known_good_at: Option<Now>) -> Self {
         Suspect {
-            ends: Vec::new(),
+            crashes: Vec::new(),
             known_good_at,
             changed_at: now,
         }
     }
 
-    /// Notes an end under it; returns whether that is news. What ran well after an end
-    /// did not cause it.
-    pub fn add_crash(&mut self, now: Now, end: ServerCrash) -> bool {
-        if self.known_good_at.is_some_and(|proven| end.at <= proven) {
+    /// Records a crash; returns whether it is new and counts. A fingerprint that ran well after a
+    /// crash did not cause it.
+    pub fn add_crash(&mut self, now: Now, crash: ServerCrash) -> bool {
+        if self
+            .known_good_at
+            .is_some_and(|good_at| crash.at <= good_at)
+        {
             return false;
         }
-        if let Some(known) = self.ends.iter_mut().find(|known| known.life == end.life) {
-            // The one who hears of it later takes it for younger.
-            known.at = known.at.min(end.at);
+        if let Some(known) = self
+            .crashes
+            .iter_mut()
+            .find(|known| known.life == crash.life)
+        {
+            // An instance that receives it later estimates a later time.
+            known.at = known.at.min(crash.at);
             return false;
         }
-        let place = self.ends.partition_point(|known| known.at <= end.at);
-        self.ends.insert(place, end);
-        if self.ends.len() > MOST_ENDS {
-            self.ends.remove(0);
+        let index = self.crashes.partition_point(|known| known.at <= crash.at);
+        self.crashes.insert(index, crash);
+        if self.crashes.len() > MAX_CRASHES {
+            self.crashes.remove(0);
         }
         self.changed_at = now;
         true
     }
 
-    /// Notes that a request with it ran well; returns whether that speaks for it against
-    /// ends that counted.
-    pub fn prove(&mut self, now: Now, at: Now) -> bool {
+    /// Records that a request ran well at `at`; returns whether this cleared crashes that
+    /// counted.
+    pub fn record_good_run(&mut self, now: Now, at: Now) -> bool {
         self.known_good_at = self.known_good_at.max(Some(at));
-        let before = self.ends.len();
-        self.ends.retain(|end| Some(end.at) > self.known_good_at);
-        let is_news = self.ends.len() < before;
-        if is_news {
+        let before = self.crashes.len();
+        self.crashes
+            .retain(|crash| Some(crash.at) > self.known_good_at);
+        let is_cleared = self.crashes.len() < before;
+        if is_cleared {
             self.changed_at = now;
         }
-        is_news
+        is_cleared
     }
 
-    /// The ends that count, oldest first.
-    pub fn ends(&self) -> &[ServerCrash] {
-        &self.ends
+    /// The crashes that count, oldest first.
+    pub fn crashes(&self) -> &[ServerCrash] {
+        &self.crashes
     }
 
-    /// When a request with it last ran well.
+    /// When a request with this fingerprint last ran well.
     pub fn known_good_at(&self) -> Option<Now> {
         self.known_good_at
     }
 
-    /// When something of this became known.
+    /// When this state last changed.
     pub fn changed_at(&self) -> Now {
         self.changed_at
     }
 
-    /// Whether a life ended under it.
-    pub fn has_ended(&self, life: LifeId) -> bool {
-        self.ends.iter().any(|end| end.life == life)
+    /// Whether an incarnation crashed while it ran a request with this fingerprint.
+    pub fn has_crashed(&self, life: LifeId) -> bool {
+        self.crashes.iter().any(|crash| crash.life == life)
     }
 
-    /// How much some of its ends weigh. Of a content that ran well lately, ends at the same
-    /// moment count once.
-    pub fn weight(&self, ends: &[ServerCrash]) -> usize {
-        let Some(first) = ends.first() else {
+    /// Weight of some of the crashes. If a request with this fingerprint recently ran well, each
+    /// crash burst counts once, otherwise each crash.
+    pub fn weight(&self, crashes: &[ServerCrash]) -> usize {
+        let Some(first) = crashes.first() else {
             return 0;
         };
-        let ran_lately = |proven: Now| first.at.saturating_sub(proven) < PROOF_LASTS;
-        match self.known_good_at.is_some_and(ran_lately) {
-            true => moments(ends),
-            false => ends.len(),
+        let ran_recently = |good_at: Now| first.at.saturating_sub(good_at) < KNOWN_GOOD_LIFETIME;
+        match self.known_good_at.is_some_and(ran_recently) {
+            true => crash_bursts(crashes),
+            false => crashes.len(),
         }
     }
 }
 
-/// How many moments some ends, oldest first, lie at.
-pub(crate) fn moments(ends: &[ServerCrash]) -> usize {
+/// Number of crash bursts among crashes, which are ordered oldest first.
+pub(crate) fn crash_bursts(crashes: &[ServerCrash]) -> usize {
     let mut count = 0;
-    let mut begun: Option<Now> = None;
-    for end in ends {
-        if begun.is_none_or(|begun| end.at.saturating_sub(begun) > MOMENT) {
+    let mut burst_started_at: Option<Now> = None;
+    for crash in crashes {
+        if burst_started_at.is_none_or(|start| crash.at.saturating_sub(start) > CRASH_BURST_WINDOW)
+        {
             count += 1;
-            begun = Some(end.at);
+            burst_started_at = Some(crash.at);
         }
     }
     count
--- a/crates/core/src/servers/suspicions.rs
+++ b/crates/core/src/servers/suspicions.rs
@@ -1,5 +1,5 @@
-//! Which contents of requests are suspected to end the backend servers that run them, to
-//! the knowledge of one instance and of those that it hears.
+//! Requests that are suspected to crash the backend servers that run them (poison requests), from
+//! the observations of this instance and those that other instances advertise.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,183 +12,185 @@
 use crate::Now;
 use crate::ServerCrash;
 use crate::Suspect;
-use crate::servers::suspect::moments;
+use crate::servers::suspect::crash_bursts;
 
-/// Ends that nothing else explains from which on a content is quarantined: with one, each
-/// request that was beside another cause would be; a stream that goes on at a copy is in
-/// two when that engine ends, too.
-const ENDS_TO_QUARANTINE: usize = 3;
+/// Number of crashes without another explanation that quarantine a fingerprint. With one, every
+/// request that ran next to the real cause would be quarantined; a stream that fails over to a
+/// backup engine is involved in two if that engine crashes, too.
+const QUARANTINE_CRASHES: usize = 3;
 
-/// Quarantine after ends at one moment, which may have had another cause: as long as
-/// callers and balancers take to settle after one.
-const FIRST_QUARANTINE: Duration = Duration::from_secs(5);
+/// Quarantine after a single crash burst, which may have had another cause: as long as callers and
+/// load balancers take to settle after one.
+const INITIAL_QUARANTINE: Duration = Duration::from_secs(5);
 
-/// How much longer it is with each further moment: after the third, 180 s, in which
-/// callers that wait up to 39 s come back no more.
+/// Factor by which each further crash burst extends the quarantine: after the third it is 180 s,
+/// in which callers that wait up to 39 s give up.
 const QUARANTINE_GROWTH: u32 = 6;
 
-/// Longest quarantine: a repaired server is noticed within the hour.
-const LONGEST_QUARANTINE: Duration = Duration::from_secs(3_600);
+/// Maximum quarantine: a repaired server is detected within one hour.
+const MAX_QUARANTINE: Duration = Duration::from_secs(3_600);
 
-/// Moments after which the quarantine grows no longer.
-const MOST_MOMENTS: u32 = 5;
+/// Number of crash bursts after which the quarantine no longer grows.
+const MAX_CRASH_BURSTS: u32 = 5;
 
-/// Contents remembered per workspace, so that none can make the others' be forgotten.
-/// About 200 bytes each.
-const MOST_PER_WORKSPACE: usize = 64;
+/// Maximum number of suspects stored per workspace, so that no workspace can evict those of the
+/// others. About 200 bytes each.
+const MAX_PER_WORKSPACE: usize = 64;
 
-/// Contents remembered in all: a megabyte.
-const MOST_SUSPECTS: usize = 4_096;
+/// Maximum number of suspects stored in total: one megabyte.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// How long a content with less than two ends is remembered: callers come back within
-/// their patience, of which the longest is 39 s.
-const SLIGHT_REMEMBERED: Duration = Duration::from_secs(120);
+/// How long a suspect with less than two crashes is kept: callers retry within their timeouts, of
+/// which the longest is 39 s.
+const WEAK_SUSPECT_LIFETIME: Duration = Duration::from_secs(120);
 
-/// How long the others are: past the longest quarantine.
-const REMEMBERED: Duration = Duration::from_secs(7_200);
+/// How long other suspects are kept: longer than the maximum quarantine.
+const SUSPECT_LIFETIME: Duration = Duration::from_secs(7_200);
 
-/// How long news are told with each heartbeat: three of the slowest, of which two may be
-/// lost.
-const NEWS_TOLD_FOR: Duration = Duration::from_secs(3);
+/// How long a change is advertised with each heartbeat: for three intervals of the slowest
+/// heartbeats, of which two may be lost.
+const UPDATE_ADVERTISED_FOR: Duration = Duration::from_secs(3);
 
-/// Time between two tellings of what is no news, for instances that have just started or
-/// were cut off.
-const RETOLD_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which unchanged suspects are advertised again, for instances that have just started
+/// or were disconnected.
+const READVERTISE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Contents told at most with one heartbeat; about 100 bytes each.
-const MOST_TOLD: usize = 12;
+/// Maximum number of suspects in one heartbeat; about 100 bytes each.
+const MAX_ADVERTISED_PER_HEARTBEAT: usize = 12;
 
-/// Ends told at most of one content: twice those that it takes to quarantine it.
-const MOST_ENDS_TOLD: usize = 6;
+/// Maximum number of advertised crashes per suspect: twice the number that quarantines it.
+const MAX_ADVERTISED_CRASHES: usize = 6;
 
-/// Added to the age of a proof that is heard, for the way of a heartbeat: without it, a
-/// proof that is passed on would get younger and speak against later ends.
-const HEARTBEAT_WAY: Duration = Duration::from_millis(100);
+/// Added to the age of a received known-good run for the transit of a heartbeat: without it, a
+/// run that is forwarded would appear younger with each hop and clear later crashes.
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
-/// What is to be done with a content.
+/// Whether requests with a fingerprint may be sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// It is sent.
+    /// They may be sent.
     Allowed,
-    /// It is not sent until then.
+    /// They are not sent until the quarantine ends.
     Quarantined {
-        /// Ends under it.
+        /// Number of crashes that count.
         ends: usize,
         /// When the quarantine ends.
         until: Now,
     },
 }
 
-/// An end, as instances tell each other.
+/// A crash as instances advertise it to each other.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AdvertisedCrash {
-    /// The life that ended.
+    /// The incarnation that crashed.
     pub life: LifeId,
-    /// Milliseconds since it was seen.
+    /// Milliseconds since the crash was observed.
     pub age_ms: u64,
 }
 
-/// A suspected content, as instances tell each other.
+/// A suspect as instances advertise it to each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AdvertisedSuspect {
-    /// The content.
+    /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// Latest ends under it.
+    /// The latest crashes, latest first.
     pub ends: Vec<AdvertisedCrash>,
-    /// Milliseconds since a request with it ran well.
+    /// Milliseconds since a request with this fingerprint ran well.
     pub proof_age_ms: Option<u64>,
 }
 
-/// A belief that has changed.
+/// A change of the state of a suspect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspicionUpdate {
-    /// A server ended under a request of this instance.
+    /// A server crashed while it ran a request of this instance.
     Ended {
-        /// The content.
+        /// The fingerprint.
         fingerprint: Fingerprint,
-        /// Ends under it that are known.
+        /// Number of known crashes that count.
         ends: usize,
     },
-    /// A content is quarantined from now on.
+    /// A fingerprint is quarantined from now on.
     Quarantined {
-        /// The content.
+        /// The fingerprint.
         fingerprint: Fingerprint,
-        /// Ends under it.
+        /// Number of crashes that count.
         ends: usize,
         /// When the quarantine ends.
         until: Now,
     },
-    /// A content that was suspected ran well.
+    /// A request with a suspected fingerprint ran well.
     Cleared {
-        /// The content.
+        /// The fingerprint.
         fingerprint: Fingerprint,
     },
 }
 
-type Contents = BTreeMap<u128, Suspect>;
+type WorkspaceSuspects = BTreeMap<u128, Suspect>;
 
-/// The suspected contents by workspace.
+/// The suspected fingerprints by workspace.
 #[derive(Debug, Default)]
 pub struct Suspicions {
-    workspaces: BTreeMap<u64, Contents>,
-    retold_at: Option<Now>,
-    news: Vec<SuspicionUpdate>,
+    workspaces: BTreeMap<u64, WorkspaceSuspects>,
+    readvertised_at: Option<Now>,
+    updates: Vec<SuspicionUpdate>,
 }
 
 impl Suspicions {
-    /// Notes that a server ended under a request of this instance, whose content last ran
-    /// well at a time.
+    /// Records that a server crashed while it ran a request of this instance. `known_good_at` is
+    /// when a request with this fingerprint last ran well.
     pub fn server_ended(
         &mut self,
         now: Now,
         fingerprint: Fingerprint,
         known_good_at: Option<Now>,
-        end: ServerCrash,
+        crash: ServerCrash,
     ) {
         let before = self.verdict(fingerprint);
         let suspect = self.entry(now, fingerprint, known_good_at);
-        if !suspect.add_crash(now, end) {
+        if !suspect.add_crash(now, crash) {
             return;
         }
-        let ends = suspect.ends().len();
-        self.news.push(SuspicionUpdate::Ended { fingerprint, ends });
-        self.note_change(fingerprint, before);
+        let ends = suspect.crashes().len();
+        self.updates
+            .push(SuspicionUpdate::Ended { fingerprint, ends });
+        self.note_quarantine(fingerprint, before);
     }
 
-    /// Notes that a request ran well: it was answered, or its stream went on for long.
+    /// Records that a request ran well: it was answered, or its stream continued for long enough.
     pub fn ran_well(&mut self, now: Now, fingerprint: Fingerprint) {
-        let contents = self.workspaces.get_mut(&fingerprint.workspace);
-        let suspect = contents.and_then(|contents| contents.get_mut(&fingerprint.content));
-        if suspect.is_some_and(|suspect| suspect.prove(now, now)) {
-            self.news.push(SuspicionUpdate::Cleared { fingerprint });
+        let suspects = self.workspaces.get_mut(&fingerprint.workspace);
+        let suspect = suspects.and_then(|suspects| suspects.get_mut(&fingerprint.content));
+        if suspect.is_some_and(|suspect| suspect.record_good_run(now, now)) {
+            self.updates.push(SuspicionUpdate::Cleared { fingerprint });
         }
     }
 
-    /// Takes what another instance tells of a content that last ran well here at a time.
-    pub fn hear(&mut self, now: Now, known_good_at: Option<Now>, told: &AdvertisedSuspect) {
+    /// Applies a suspect that another instance advertises. `known_good_at` is when a request with
+    /// this fingerprint last ran well at this instance.
+    pub fn hear(&mut self, now: Now, known_good_at: Option<Now>, advertised: &AdvertisedSuspect) {
         let at = |age_ms: u64| now.saturating_sub(Duration::from_millis(age_ms));
-        let fingerprint = told.fingerprint;
+        let fingerprint = advertised.fingerprint;
         let before = self.verdict(fingerprint);
         let suspect = self.entry(now, fingerprint, known_good_at);
-        let heard = told.proof_age_ms.map(at);
-        let heard = heard.map(|proven| proven.saturating_sub(HEARTBEAT_WAY));
-        let known_good_at = heard.max(known_good_at);
-        let is_cleared = known_good_at.is_some_and(|proven| suspect.prove(now, proven));
-        for end in &told.ends {
-            let (life, at) = (end.life, at(end.age_ms));
+        let received = advertised.proof_age_ms.map(at);
+        let received = received.map(|good_at| good_at.saturating_sub(HEARTBEAT_TRANSIT));
+        let known_good_at = received.max(known_good_at);
+        let is_cleared = known_good_at.is_some_and(|good_at| suspect.record_good_run(now, good_at));
+        for crash in &advertised.ends {
+            let (life, at) = (crash.life, at(crash.age_ms));
             suspect.add_crash(now, ServerCrash { life, at });
         }
         if is_cleared {
-            self.news.push(SuspicionUpdate::Cleared { fingerprint });
+            self.updates.push(SuspicionUpdate::Cleared { fingerprint });
         }
-        self.note_change(fingerprint, before);
+        self.note_quarantine(fingerprint, before);
     }
 
-    fn note_change(&mut self, fingerprint: Fingerprint, before: Verdict) {
+    fn note_quarantine(&mut self, fingerprint: Fingerprint, before: Verdict) {
         if let (Verdict::Allowed, Verdict::Quarantined { ends, until }) =
             (before, self.verdict(fingerprint))
         {
-            self.news.push(SuspicionUpdate::Quarantined {
+            self.updates.push(SuspicionUpdate::Quarantined {
                 fingerprint,
                 ends,
                 until,
@@ -196,89 +198,91 @@
         }
     }
 
-    /// What is to be done with a content. Requests that were beside another cause are
-    /// told from it by their ends: whatever else had more of them explains those that both
-    /// have.
+    /// Whether requests with this fingerprint may be sent. Requests that only ran next to the real
+    /// cause are distinguished from it by their crashes: a suspect with more crashes explains those
+    /// that both have in common.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
         let Some(suspect) = self.suspect(fingerprint) else {
             return Verdict::Allowed;
         };
-        if suspect.ends().len() < ENDS_TO_QUARANTINE {
+        if suspect.crashes().len() < QUARANTINE_CRASHES {
             return Verdict::Allowed;
         }
-        let ends = suspect.ends().iter().copied();
-        let ends: Vec<ServerCrash> = ends.filter(|e| !self.is_explained(suspect, e)).collect();
-        let weight = suspect.weight(&ends);
-        let (Some(last), true) = (ends.last(), weight >= ENDS_TO_QUARANTINE) else {
+        let crashes = suspect.crashes().iter().copied();
+        let crashes: Vec<ServerCrash> =
+            crashes.filter(|c| !self.is_explained(suspect, c)).collect();
+        let weight = suspect.weight(&crashes);
+        let (Some(last), true) = (crashes.last(), weight >= QUARANTINE_CRASHES) else {
             return Verdict::Allowed;
         };
         Verdict::Quarantined {
-            ends: ends.len(),
-            until: last.at + quarantine(moments(&ends)),
+            ends: crashes.len(),
+            until: last.at + quarantine(crash_bursts(&crashes)),
         }
     }
 
-    fn is_explained(&self, suspect: &Suspect, end: &ServerCrash) -> bool {
-        let contents = self.workspaces.values().flat_map(BTreeMap::values);
-        let mut stronger = contents.filter(|other| other.ends().len() > suspect.ends().len());
-        stronger.any(|other| other.has_ended(end.life))
+    fn is_explained(&self, suspect: &Suspect, crash: &ServerCrash) -> bool {
+        let suspects = self.workspaces.values().flat_map(BTreeMap::values);
+        let mut stronger = suspects.filter(|other| other.crashes().len() > suspect.crashes().len());
+        stronger.any(|other| other.has_crashed(crash.life))
     }
 
-    /// All that is known, for an instance that asks: the gravest and the latest first.
+    /// Returns the known suspects for an instance that requests them, those with enough crashes for
+    /// a quarantine first, then the latest, and at most as many as one heartbeat carries.
     pub fn known(&self, now: Now) -> Vec<AdvertisedSuspect> {
-        first_told(now, self.suspects().collect())
+        prioritized(now, self.suspects().collect())
     }
 
-    /// What the others should know now.
+    /// Returns the suspects to advertise to the other instances now.
     pub fn told(&mut self, now: Now) -> Vec<AdvertisedSuspect> {
-        let is_due = |at: Now| now.saturating_sub(at) >= RETOLD_EVERY;
-        let retells = self.retold_at.is_none_or(is_due);
-        if retells {
-            self.retold_at = Some(now);
+        let is_due = |at: Now| now.saturating_sub(at) >= READVERTISE_INTERVAL;
+        let readvertises = self.readvertised_at.is_none_or(is_due);
+        if readvertises {
+            self.readvertised_at = Some(now);
         }
-        let told = self.suspects().filter(|(_, suspect)| {
-            let is_news = now.saturating_sub(suspect.changed_at()) < NEWS_TOLD_FOR;
-            is_news || (retells && suspect.ends().len() > 1)
+        let due = self.suspects().filter(|(_, suspect)| {
+            let is_recent = now.saturating_sub(suspect.changed_at()) < UPDATE_ADVERTISED_FOR;
+            is_recent || (readvertises && suspect.crashes().len() > 1)
         });
-        first_told(now, told.collect())
+        prioritized(now, due.collect())
     }
 
-    /// The beliefs that have changed since this was asked last.
+    /// Returns and clears the updates since the last call.
     pub fn take_news(&mut self) -> Vec<SuspicionUpdate> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
-    /// How many contents have ends that count.
+    /// Number of fingerprints with crashes that count.
     pub fn count(&self) -> usize {
         let suspects = self.suspects();
-        suspects.filter(|(_, s)| !s.ends().is_empty()).count()
+        suspects.filter(|(_, s)| !s.crashes().is_empty()).count()
     }
 
-    /// How many contents are quarantined.
+    /// Number of quarantined fingerprints.
     pub fn quarantined(&self) -> usize {
-        let contents = self.suspects().map(|(fingerprint, _)| fingerprint);
-        contents
-            .filter(|content| self.verdict(*content) != Verdict::Allowed)
+        let fingerprints = self.suspects().map(|(fingerprint, _)| fingerprint);
+        fingerprints
+            .filter(|fingerprint| self.verdict(*fingerprint) != Verdict::Allowed)
             .count()
     }
 
-    /// Forgets what is old.
+    /// Removes suspects whose lifetime has passed.
     pub fn expire(&mut self, now: Now) {
-        for contents in self.workspaces.values_mut() {
-            contents.retain(|_, suspect| {
-                let lifetime = match suspect.ends().len() {
-                    0 | 1 => SLIGHT_REMEMBERED,
-                    _ => REMEMBERED,
+        for suspects in self.workspaces.values_mut() {
+            suspects.retain(|_, suspect| {
+                let lifetime = match suspect.crashes().len() {
+                    0 | 1 => WEAK_SUSPECT_LIFETIME,
+                    _ => SUSPECT_LIFETIME,
                 };
                 now.saturating_sub(suspect.changed_at()) < lifetime
             });
         }
-        self.workspaces.retain(|_, contents| !contents.is_empty());
+        self.workspaces.retain(|_, suspects| !suspects.is_empty());
     }
 
     fn suspects(&self) -> impl Iterator<Item = (Fingerprint, &Suspect)> {
-        self.workspaces.iter().flat_map(|(workspace, contents)| {
-            contents.iter().map(|(content, suspect)| {
+        self.workspaces.iter().flat_map(|(workspace, suspects)| {
+            suspects.iter().map(|(content, suspect)| {
                 let fingerprint = Fingerprint {
                     workspace: *workspace,
                     content: *content,
@@ -289,8 +293,8 @@
     }
 
     fn suspect(&self, fingerprint: Fingerprint) -> Option<&Suspect> {
-        let contents = self.workspaces.get(&fingerprint.workspace)?;
-        contents.get(&fingerprint.content)
+        let suspects = self.workspaces.get(&fingerprint.workspace)?;
+        suspects.get(&fingerprint.content)
     }
 
     fn entry(
@@ -302,13 +306,13 @@
         if self.suspect(fingerprint).is_none() {
             self.make_room(fingerprint.workspace);
         }
-        let contents = self.workspaces.entry(fingerprint.workspace).or_default();
-        let suspect = contents.entry(fingerprint.content);
+        let suspects = self.workspaces.entry(fingerprint.workspace).or_default();
+        let suspect = suspects.entry(fingerprint.content);
         suspect.or_insert_with(|| Suspect::new(now, known_good_at))
     }
 
-    /// Drops the slightest suspicion of a workspace that has its share, or else of the
-    /// one that has most.
+    /// Removes the weakest suspect of `workspace` if it has reached its maximum, or of the
+    /// workspace with the most suspects if the total is reached.
     fn make_room(&mut self, workspace: u64) {
         let own = self.workspaces.get(&workspace).map_or(0, BTreeMap::len);
         let all: usize = self.workspaces.values().map(BTreeMap::len).sum();
@@ -316,46 +320,49 @@
             let by_size = self.workspaces.iter();
             by_size.max_by_key(|(_, c)| c.len()).map(|(w, _)| *w)
         };
-        let full = match (own >= MOST_PER_WORKSPACE, all >= MOST_SUSPECTS) {
+        let full = match (own >= MAX_PER_WORKSPACE, all >= MAX_SUSPECTS) {
             (true, _) => Some(workspace),
             (false, true) => largest(),
             (false, false) => None,
         };
-        let Some(contents) = full.and_then(|full| self.workspaces.get_mut(&full)) else {
+        let Some(suspects) = full.and_then(|full| self.workspaces.get_mut(&full)) else {
             return;
         };
-        let slightest = contents
+        let weakest = suspects
             .iter()
-            .min_by_key(|(_, s)| (s.ends().len(), s.changed_at()))
+            .min_by_key(|(_, s)| (s.crashes().len(), s.changed_at()))
             .map(|(content, _)| *content);
-        if let Some(slightest) = slightest {
-            contents.remove(&slightest);
+        if let Some(weakest) = weakest {
+            suspects.remove(&weakest);
         }
     }
 }
 
-fn quarantine(moments: usize) -> Duration {
-    let moments = u32::try_from(moments).unwrap_or(MOST_MOMENTS);
-    let further = moments.clamp(1, MOST_MOMENTS) - 1;
-    let time = FIRST_QUARANTINE * QUARANTINE_GROWTH.pow(further);
-    time.min(LONGEST_QUARANTINE)
+fn quarantine(bursts: usize) -> Duration {
+    let bursts = u32::try_from(bursts).unwrap_or(MAX_CRASH_BURSTS);
+    let further = bursts.clamp(1, MAX_CRASH_BURSTS) - 1;
+    let time = INITIAL_QUARANTINE * QUARANTINE_GROWTH.pow(further);
+    time.min(MAX_QUARANTINE)
 }
 
-fn first_told(now: Now, mut told: Vec<(Fingerprint, &Suspect)>) -> Vec<AdvertisedSuspect> {
-    told.sort_by_key(|(_, suspect)| {
-        let is_quarantined = suspect.ends().len() >= ENDS_TO_QUARANTINE;
+fn prioritized(now: Now, mut suspects: Vec<(Fingerprint, &Suspect)>) -> Vec<AdvertisedSuspect> {
+    suspects.sort_by_key(|(_, suspect)| {
+        let is_quarantined = suspect.crashes().len() >= QUARANTINE_CRASHES;
         std::cmp::Reverse((is_quarantined, suspect.changed_at()))
     });
-    told.truncate(MOST_TOLD);
-    told.into_iter().map(|(f, s)| as_told(now, f, s)).collect()
+    suspects.truncate(MAX_ADVERTISED_PER_HEARTBEAT);
+    suspects
+        .into_iter()
+        .map(|(f, s)| advertised(now, f, s))
+        .collect()
 }
 
-fn as_told(now: Now, fingerprint: Fingerprint, suspect: &Suspect) -> AdvertisedSuspect {
+fn advertised(now: Now, fingerprint: Fingerprint, suspect: &Suspect) -> AdvertisedSuspect {
     let age_ms = |at: Now| now.saturating_sub(at).as_millis() as u64;
-    let latest = suspect.ends().iter().rev().take(MOST_ENDS_TOLD);
-    let ends = latest.map(|end| AdvertisedCrash {
-        life: end.life,
-        age_ms: age_ms(end.at),
+    let latest = suspect.crashes().iter().rev().take(MAX_ADVERTISED_CRASHES);
+    let ends = latest.map(|crash| AdvertisedCrash {
+        life: crash.life,
+        age_ms: age_ms(crash.at),
     });
     AdvertisedSuspect {
         fingerprint,
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -1,4 +1,4 @@
-//! What instances do together after backend servers have named limits.
+//! Joint behaviour of the instances after backend servers have declared limits.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -18,29 +18,37 @@
 use limit_scene::Fleet;
 use limit_scene::SPAN;
 use limit_scene::allowed;
+use limit_scene::declares_limit;
 use limit_scene::instance;
-use limit_scene::names_limit;
 
-/// The others take what limited servers can't; nobody is refused.
+/// Other servers receive the requests that limited servers can't accept; no request is refused.
 #[test_case(9, 38, "3.9", 3.9; "nine instances")]
-#[test_case(9, 38, "0", 0.0; "a server that takes nothing")]
+#[test_case(9, 38, "0", 0.0; "a limit of zero")]
 #[test_case(40, 60, "4", 4.0; "forty instances")]
-#[test_case(40, 60, "0.3", 0.3; "forty before a server that takes one in three seconds")]
-fn servers_get_no_more_than_they_take(count: usize, per_s: u64, limit: &'static str, rate: f64) {
+#[test_case(40, 60, "0.3", 0.3; "forty instances and a limit of one request in three seconds")]
+fn servers_receive_no_more_than_their_limits(
+    count: usize,
+    per_s: u64,
+    limit: &'static str,
+    rate: f64,
+) {
     let mut fleet = Fleet::new(count, &[Some(limit), Some(limit), None]);
     fleet.run(Duration::from_secs(30), per_s);
-    let told_at = ms(3_000);
+    let settled_at = ms(3_000);
     for server in [0, 1] {
-        let most = fleet.most(server, told_at);
+        let most = fleet.most(server, settled_at);
         assert!(most <= allowed(rate), "{most} within {SPAN:?}");
-        assert!(fleet.count(server, told_at) > 0, "its words are heard");
+        assert!(
+            fleet.count(server, settled_at) > 0,
+            "the server is still probed"
+        );
     }
     assert!(fleet.refused.is_empty(), "{}", fleet.refused.len());
 }
 
-/// Shares follow the requests: the instances without any leave theirs to the others.
+/// Shares follow the demand: idle instances leave their shares to the others.
 #[test]
-fn a_limit_is_used_where_a_third_of_the_instances_has_the_requests() {
+fn a_limit_is_used_if_a_third_of_the_instances_receives_all_requests() {
     let mut fleet = Fleet::new(9, &[Some("4")]);
     fleet.idle_from = 3;
     fleet.run(Duration::from_secs(33), 12);
@@ -51,19 +59,19 @@
     assert!(used >= 0.6, "{used}");
 }
 
-/// A cut lasts: neither half takes the other's part, since both remember it.
+/// During a long partition neither half uses the share of the other, since both remember it.
 #[test]
-fn two_halves_that_do_not_hear_each_other_keep_to_one_limit() {
+fn partitioned_halves_respect_one_limit() {
     let mut fleet = Fleet::new(10, &[Some("4"), None]);
     fleet.run(Duration::from_secs(10), 30);
-    fleet.is_cut = true;
+    fleet.is_partitioned = true;
     fleet.run(Duration::from_secs(60), 30);
     let most = fleet.most(0, ms(3_000));
     assert!(most <= allowed(4.0), "{most} within {SPAN:?}");
 }
 
 #[test]
-fn a_burst_is_shared_as_soon_as_it_is_told() {
+fn a_burst_is_shared_as_soon_as_it_is_advertised() {
     let mut fleet = Fleet::new(9, &[Some("4"), None]);
     fleet.run(Duration::from_secs(10), 12);
     fleet.run(Duration::from_secs(10), 36);
@@ -71,10 +79,10 @@
     assert!(most <= allowed(4.0), "{most} within {SPAN:?}");
 }
 
-/// One answer without a limit is enough, also at instances that would not have asked soon.
+/// One answer without a limit suffices, also for instances that would not have sent a request soon.
 #[test_case("4"; "a limit")]
-#[test_case("0"; "a limit of nothing")]
-fn a_server_that_names_no_limit_any_more_is_used_by_all(limit: &'static str) {
+#[test_case("0"; "a limit of zero")]
+fn a_withdrawn_limit_is_lifted_at_all_instances(limit: &'static str) {
     let mut fleet = Fleet::new(9, &[Some(limit), None]);
     fleet.run(Duration::from_secs(10), 30);
     fleet.limits[0] = None;
@@ -84,9 +92,9 @@
     assert!(fleet.count(0, ms(35_000)) > 50);
 }
 
-/// Whoever refuses is told when it is an instance's turn; nothing waits.
+/// Refused callers are told when it is the instance's turn; no request is queued.
 #[test]
-fn where_all_are_limited_callers_are_refused_with_a_time() {
+fn callers_are_refused_with_a_time_if_all_servers_are_limited() {
     let mut fleet = Fleet::new(3, &[Some("2"), Some("2")]);
     fleet.run(Duration::from_secs(10), 30);
     let from = ms(3_000);
@@ -102,32 +110,32 @@
     assert!(refusal.retry_after >= ms(100) && refusal.retry_after <= ms(6_000));
 }
 
-/// An instance that has just started asks nobody: it goes by what it hears.
+/// A new instance sends no queries: it applies the limits that it receives.
 #[test]
-fn an_instance_that_starts_keeps_to_what_the_others_tell() {
+fn a_new_instance_respects_the_advertised_limits() {
     let mut fleet = Fleet::new(9, &[Some("0.3"), None]);
     fleet.run(Duration::from_secs(10), 30);
     for number in [0, 3, 6] {
         fleet.instances[number] = instance(number, &fleet.servers.clone());
     }
-    fleet.tell();
+    fleet.exchange_heartbeats();
     let before = fleet.count(0, Now::ZERO);
     fleet.run(Duration::from_secs(4), 30);
     let after = fleet.count(0, Now::ZERO) - before;
     assert!(after <= allowed(0.3), "{after}");
 }
 
-/// What another life named says nothing of this one.
+/// The limit of one incarnation says nothing about another.
 #[test]
-fn a_limit_binds_one_life() {
+fn a_limit_applies_to_one_incarnation() {
     let born = |born_ms| Replica {
         born_ms: Some(born_ms),
         ..engine("a", "z1")
     };
     let mut control = instance(0, &[born(1)]);
-    let heard = names_limit("0", ms(900));
-    control.limit_noticed(ms(1_000), &born(1).server_life(), &heard);
-    assert!(control.place(ms(1_100), ask("r1")).is_ok(), "tried once");
+    let observed = declares_limit("0", ms(900));
+    control.limit_noticed(ms(1_000), &born(1).server_life(), &observed);
+    assert!(control.place(ms(1_100), ask("r1")).is_ok(), "probed once");
     assert!(control.place(ms(1_100), ask("r2")).is_err());
     control.offer_replicas(ms(1_200), 2, vec![born(2)]);
     for number in 0..6 {
@@ -136,9 +144,9 @@
     }
 }
 
-/// A request that was placed before the limit was named asks when it is sent.
+/// A request that was placed before the limit was declared needs a grant when it is sent.
 #[test]
-fn what_was_placed_before_asks_once_more() {
+fn earlier_placements_need_a_grant_when_sent() {
     let server = engine("a", "z1");
     let mut control = instance(0, std::slice::from_ref(&server));
     for number in 0..8 {
@@ -146,20 +154,20 @@
         assert!(control.place(ms(1_000), ask(&request)).is_ok());
     }
     let life = server.server_life();
-    control.limit_noticed(ms(1_050), &life, &names_limit("1", ms(1_000)));
+    control.limit_noticed(ms(1_050), &life, &declares_limit("1", ms(1_000)));
     let sent = (0..8).filter(|number| control.may_send(ms(1_100), &life, &format!("r{number}")));
     let sent = sent.count();
     assert!(sent <= 2, "{sent}");
 }
 
-/// Trying one that failed a moment ago beats refusing.
+/// A trial request to a server that has just failed is preferred to a refusal.
 #[test]
-fn where_all_but_limited_ones_are_paused_a_paused_one_is_tried() {
+fn a_server_in_backoff_is_tried_if_all_others_are_limited() {
     let servers = [engine("a", "z1"), engine("b", "z1")];
     let mut control = instance(0, &servers);
     let life = servers[0].server_life();
-    control.limit_noticed(ms(1_000), &life, &names_limit("0", ms(900)));
-    control.may_send(ms(1_000), &life, "its one try");
+    control.limit_noticed(ms(1_000), &life, &declares_limit("0", ms(900)));
+    control.may_send(ms(1_000), &life, "the one probe");
     for number in 0..4 {
         control.failed(ms(1_000 + number), "b");
     }
--- a/crates/core/tests/limit_scene/mod.rs
+++ b/crates/core/tests/limit_scene/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of instances before servers that name limits, in virtual time: the real
-//! decisions, told each other with heartbeats.
+//! A fleet of instances in front of servers that declare limits, in virtual time: the instances run
+//! the real decision code and advertise their state with heartbeats.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::sync::Arc;
@@ -22,12 +22,12 @@
 use crate::gateway_scene::terms;
 
 /// Time between two heartbeats.
-const BEAT_MS: u64 = 200;
+const HEARTBEAT_INTERVAL_MS: u64 = 200;
 
-/// The span in which what reaches a server is counted.
+/// The period over which the requests that reach a server are counted.
 pub const SPAN: Duration = Duration::from_secs(4);
 
-pub fn names_limit(per_s: &str, sent_at: Now) -> ObservedNotice {
+pub fn declares_limit(per_s: &str, sent_at: Now) -> ObservedNotice {
     ObservedNotice {
         notice: ServerNotice {
             limit: DeclaredLimit::parse(per_s),
@@ -38,7 +38,7 @@
     }
 }
 
-pub fn names_none(sent_at: Now) -> ObservedNotice {
+pub fn declares_no_limit(sent_at: Now) -> ObservedNotice {
     ObservedNotice {
         notice: ServerNotice::default(),
         sent_at,
@@ -46,22 +46,22 @@
     }
 }
 
-/// A fleet whose instances tell each other everything with each heartbeat.
+/// A fleet whose instances advertise their whole state with each heartbeat.
 pub struct Fleet {
     pub instances: Vec<GatewayControl>,
     pub servers: Vec<Replica>,
-    /// The limits that the servers name in each answer.
+    /// The limits that the servers declare in each answer.
     pub limits: Vec<Option<&'static str>>,
-    /// What reached each server, and when.
+    /// The times at which requests reached each server.
     pub reached: Vec<Vec<Now>>,
-    /// Which instance sent it.
+    /// The instances that sent these requests.
     pub reached_from: Vec<Vec<usize>>,
     pub refused: Vec<Now>,
     pub now_ms: u64,
     pub requests: u64,
-    /// Parts of the fleet hear only themselves.
-    pub is_cut: bool,
-    /// Instances that take no requests.
+    /// Whether the fleet is partitioned into two halves.
+    pub is_partitioned: bool,
+    /// Number of the first instance that receives no requests.
     pub idle_from: usize,
 }
 
@@ -80,18 +80,18 @@
             refused: Vec::new(),
             now_ms: 0,
             requests: 0,
-            is_cut: false,
+            is_partitioned: false,
             idle_from: count,
         }
     }
 
-    /// Lets time pass with so many requests a second.
+    /// Advances the time with `per_s` requests per second.
     pub fn run(&mut self, time: Duration, per_s: u64) {
         let until = self.now_ms + time.as_millis() as u64;
         while self.now_ms < until {
             self.now_ms += 1;
-            if self.now_ms.is_multiple_of(BEAT_MS) {
-                self.tell();
+            if self.now_ms.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
+                self.exchange_heartbeats();
             }
             if self.now_ms % 1_000 * per_s % 1_000 < per_s {
                 self.request();
@@ -99,7 +99,7 @@
         }
     }
 
-    pub fn tell(&mut self) {
+    pub fn exchange_heartbeats(&mut self) {
         let now = ms(self.now_ms);
         for from in 0..self.instances.len() {
             let control = &mut self.instances[from];
@@ -114,7 +114,7 @@
                 digest: None,
             };
             for to in 0..self.instances.len() {
-                if to != from && (!self.is_cut || to % 2 == from % 2) {
+                if to != from && (!self.is_partitioned || to % 2 == from % 2) {
                     self.instances[to].hear_peer(now, loads.clone());
                     self.instances[to].hear_limits(now, limits.clone());
                 }
@@ -122,7 +122,8 @@
         }
     }
 
-    /// The instances get requests in an order that follows no pattern of the servers.
+    /// Sends a request to an instance; the order of the instances is not correlated with the
+    /// order of the servers.
     pub fn request(&mut self) {
         self.requests += 1;
         let number = (self.requests * 7_919 % 10_007) as usize % self.idle_from;
@@ -134,21 +135,24 @@
             return;
         };
         let first = ranking.replicas[0].server_life();
-        let place = self.servers.iter().position(|s| s.id == first.id).unwrap();
+        let index = self.servers.iter().position(|s| s.id == first.id).unwrap();
         if control.limits().has(first.life) {
-            assert!(control.may_send(now, &first, &id), "it was granted");
+            assert!(
+                control.may_send(now, &first, &id),
+                "the placement has a grant"
+            );
         }
-        self.reached[place].push(now);
-        self.reached_from[place].push(number);
-        let heard = match self.limits[place] {
-            Some(limit) => names_limit(limit, now),
-            None => names_none(now),
+        self.reached[index].push(now);
+        self.reached_from[index].push(number);
+        let observed = match self.limits[index] {
+            Some(limit) => declares_limit(limit, now),
+            None => declares_no_limit(now),
         };
-        control.limit_noticed(now, &first, &heard);
+        control.limit_noticed(now, &first, &observed);
         control.ended(now, &id, RunEnd::Answered);
     }
 
-    /// What reached a server, and from which instance.
+    /// The requests that reached a server: times and sending instances.
     pub fn reached_by(&self, server: usize) -> Vec<(Now, usize)> {
         let times = self.reached[server].iter().copied();
         times
@@ -156,7 +160,7 @@
             .collect()
     }
 
-    /// The most that reached a server within the span, from some time on.
+    /// The maximum number of requests that reached a server within `SPAN`, from `from` on.
     pub fn most(&self, server: usize, from: Now) -> usize {
         let times = self.reached[server].iter().filter(|at| **at >= from);
         let times: Vec<Now> = times.copied().collect();
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Budgets, limits, queues and the estimate of lengths.
+//! Retry budgets, workspace limits, queues and length estimates.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -32,34 +32,38 @@
 use SendResult::NotConnected;
 use SendResult::SaidNotRun;
 
-/// Whether another try follows, and otherwise what the caller is told.
+/// Whether another attempt follows, and otherwise the result that the caller receives.
 #[test_case(false, &[NotConnected], None; "nothing was written")]
 #[test_case(false, &[Lost], Some((Outcome::Unknown, CallEnd::Lost)); "lost after writing")]
-#[test_case(false, &[Failed], Some((Outcome::Unknown, CallEnd::Answer)); "failed without a word")]
+#[test_case(false, &[Failed], Some((Outcome::Unknown, CallEnd::Answer)); "failed without a statement")]
 #[test_case(false, &[SaidNotRun], Some((Outcome::NotRun, CallEnd::Answer)); "said not run")]
 #[test_case(false, &[Answered], Some((Outcome::Ran, CallEnd::Answer)); "answered")]
-#[test_case(false, &[NotConnected, NotConnected, NotConnected, NotConnected], Some((Outcome::NotRun, CallEnd::NoRunner)); "no runner left")]
-#[test_case(false, &[NotConnected, Lost], Some((Outcome::Unknown, CallEnd::Lost)); "lost at the second")]
+#[test_case(false, &[NotConnected, NotConnected, NotConnected, NotConnected], Some((Outcome::NotRun, CallEnd::NoRunner)); "no server remaining")]
+#[test_case(false, &[NotConnected, Lost], Some((Outcome::Unknown, CallEnd::Lost)); "second attempt lost")]
 #[test_case(true, &[Lost], None; "may be repeated: lost")]
 #[test_case(true, &[Failed, SaidNotRun], None; "may be repeated: failed twice")]
-#[test_case(true, &[Failed, Lost, SaidNotRun], Some((Outcome::Unknown, CallEnd::Answer)); "may be repeated: tries are spent")]
+#[test_case(true, &[Failed, Lost, SaidNotRun], Some((Outcome::Unknown, CallEnd::Answer)); "may be repeated: attempts are exhausted")]
 #[test_case(true, &[Lost, Answered], Some((Outcome::Ran, CallEnd::Answer)); "may be repeated: answered")]
-fn a_call_after(repeatable: bool, results: &[SendResult], expected: Option<(Outcome, CallEnd)>) {
-    let runners = ["r1", "r2", "r3", "r4"].map(str::to_owned).to_vec();
-    let mut run = CallRun::new(repeatable, runners, SECOND);
+fn the_next_step_after(
+    repeatable: bool,
+    results: &[SendResult],
+    expected: Option<(Outcome, CallEnd)>,
+) {
+    let servers = ["r1", "r2", "r3", "r4"].map(str::to_owned).to_vec();
+    let mut run = CallRun::new(repeatable, servers, SECOND);
     for result in results {
         assert!(matches!(run.next(ZERO), CallStep::Send(_)));
         run.sent(*result);
     }
-    let told = match run.next(ZERO) {
+    let result = match run.next(ZERO) {
         CallStep::Send(_) => None,
         CallStep::End { outcome, end } => Some((outcome, end)),
     };
-    assert_eq!(told, expected);
+    assert_eq!(result, expected);
 }
 
 #[test]
-fn a_process_that_wakes_after_the_deadline_sends_nothing() {
+fn nothing_is_sent_after_the_deadline() {
     let mut run = CallRun::new(false, vec!["r1".to_owned()], SECOND);
     let late = CallStep::End {
         outcome: Outcome::NotRun,
@@ -68,7 +72,7 @@
     assert_eq!(run.next(SECOND), late);
 }
 
-/// All requests fail and each failure asks for a retry.
+/// Every request fails and each failure requests a retry.
 #[test]
 fn retries_add_at_most_a_tenth_in_the_long_run() {
     let mut budget = RetryBudget::default();
@@ -85,12 +89,12 @@
     let mut budget = RetryBudget::default();
     while budget.spend(&["server"]) {}
     assert!(!budget.spend(&["workspace", "server"]));
-    let left = (0..100).filter(|_| budget.spend(&["workspace"])).count();
-    assert_eq!(left, 10);
+    let remaining = (0..100).filter(|_| budget.spend(&["workspace"])).count();
+    assert_eq!(remaining, 10);
 }
 
 #[test]
-fn a_bucket_tells_when_to_come_back() {
+fn an_empty_bucket_returns_the_time_to_wait() {
     let mut bucket = TokenBucket::new(ZERO, 2.0);
     assert!(bucket.take(ZERO).is_ok() && bucket.take(ZERO).is_ok());
     let wait = bucket.take(ZERO).unwrap_err();
@@ -109,9 +113,9 @@
     }
 }
 
-#[test_case(2, 100, RefusalKind::ConcurrencyLimit; "too many open")]
-#[test_case(100, 2, RefusalKind::RateLimit; "too many a second")]
-fn a_limit_refuses_the_third(open: u32, rate: u32, kind: RefusalKind) {
+#[test_case(2, 100, RefusalKind::ConcurrencyLimit; "too many open requests")]
+#[test_case(100, 2, RefusalKind::RateLimit; "too many requests per second")]
+fn a_limit_refuses_the_third_request(open: u32, rate: u32, kind: RefusalKind) {
     let mut admission = Admission::default();
     let workspace = workspace(open, rate);
     admission.open(ZERO, &workspace).unwrap();
@@ -138,7 +142,7 @@
     }
 }
 
-/// One workspace floods; weights decide, not arrivals.
+/// One workspace floods the queue; the weights decide about the shares, not the arrivals.
 #[test]
 fn shares_follow_weights_and_no_workspace_starves() {
     let mut queue = FairQueue::default();
@@ -160,14 +164,14 @@
 }
 
 #[test]
-fn priority_goes_first_within_a_workspace_and_lost_work_before_all() {
+fn priority_orders_a_workspace_and_retries_precede_all() {
     let mut queue = FairQueue::default();
     queue.push(1, queued("w", 1, 0, SECOND));
     queue.push(1, queued("w", 2, 5, SECOND));
     queue.push(1, queued("w", 3, 5, SECOND));
-    let mut continued = queued("v", 4, 0, SECOND);
-    continued.submission.attempt = 2;
-    queue.push(1, continued);
+    let mut retried = queued("v", 4, 0, SECOND);
+    retried.submission.attempt = 2;
+    queue.push(1, retried);
     let mut order = Vec::new();
     while let Some(next) = queue.pop(1.0) {
         order.push(next.submission.request);
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn what_missed_its_deadline_is_taken_out_at_once() {
+fn expired_submissions_are_removed_at_once() {
     let mut queue = FairQueue::default();
     queue.push(1, queued("w", 1, 0, SECOND));
     queue.push(1, queued("w", 2, 0, SECOND * 5));
@@ -185,15 +189,15 @@
     assert_eq!(queue.len(), 1);
 }
 
-/// Log-logistic lengths, as the stand-in draws them.
+/// Log-logistic lengths, as the stand-in engine draws them.
 fn draw_length(random: &mut Pcg32, median: f64) -> u32 {
     let share = f64::from(random.next_u32()) / f64::from(u32::MAX);
     let odds = share / (1.0 - share).max(1e-9);
     (median * odds.powf(1.0 / 1.8)).clamp(1.0, 4_000.0) as u32
 }
 
-/// The share of lengths below a conditional quantile, given what has been
-/// generated: the calibration that admission relies on.
+/// The fraction of lengths below a conditional quantile, given the tokens
+/// generated so far: admission relies on this calibration.
 #[test_case(0, 0.5)]
 #[test_case(0, 0.9)]
 #[test_case(50, 0.9)]
@@ -215,7 +219,7 @@
 }
 
 #[test]
-fn classes_with_little_history_lean_on_the_shared_one() {
+fn classes_with_little_history_use_the_shared_estimate() {
     let mut estimator = LengthEstimator::default();
     (0..1_000).for_each(|_| estimator.finished("large/m", 100));
     estimator.finished("small/m", 1_000);
