--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn nothing_is_sent_after_the_deadline() {
+fn a_process_resumed_after_the_deadline_sends_nothing() {
     let mut run = CallRun::new(false, vec!["r1".to_owned()], SECOND);
     let late = CallStep::End {
         outcome: Outcome::NotRun,
