--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -20,14 +20,14 @@
 use crate::HybridTime;
 use crate::Incarnation;
 use crate::InstanceId;
+use crate::InstanceList;
 use crate::LengthEstimator;
 use crate::Now;
 use crate::ProvenContents;
-use crate::ReaderRota;
+use crate::ReaderRanking;
 use crate::Refusal;
 use crate::RequestId;
 use crate::RetryBudget;
-use crate::Roster;
 use crate::Router;
 use crate::RoutingPolicy;
 use crate::ServerLimits;
@@ -86,8 +86,8 @@
 pub struct Control {
     settings: ControlSettings,
     config: ConfigOrder,
-    roster: Roster,
-    rota: ReaderRota,
+    instance_list: InstanceList,
+    rota: ReaderRanking,
     reading: bool,
     next_zone_exchange: Now,
     next_far_exchange: Now,
@@ -119,8 +119,8 @@
         let zone = settings.zone.clone();
         Control {
             config: ConfigOrder::default(),
-            roster: Roster::default(),
-            rota: ReaderRota::new(instance.clone(), zone.clone()),
+            instance_list: InstanceList::default(),
+            rota: ReaderRanking::new(instance.clone(), zone.clone()),
             reading: false,
             next_zone_exchange: Now::ZERO,
             next_far_exchange: Now::ZERO,
@@ -195,7 +195,7 @@
                 self.config.confirm(now.saturating_sub(ago), version);
             }
             Event::RosterOffered { version, entries } => {
-                self.roster.offer(version, entries);
+                self.instance_list.offer(version, entries);
             }
             Event::PeerHeard {
                 instance,
@@ -204,7 +204,7 @@
                 time,
             } => {
                 self.clock.observe(wall_ms, time);
-                self.roster
+                self.instance_list
                     .hear(now, &instance, &incarnation, config_version);
             }
             Event::Note { request, event } => self.note(request, event),
@@ -276,8 +276,8 @@
     }
 
     /// The instance list.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn instance_list(&self) -> &InstanceList {
+        &self.instance_list
     }
 
     /// The backend servers.
--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -86,7 +86,7 @@
     }
 
     fn instances(&self) -> u32 {
-        u32::try_from(self.roster.entries().count()).unwrap_or(u32::MAX)
+        u32::try_from(self.instance_list.entries().count()).unwrap_or(u32::MAX)
     }
 
     /// A server that has another address is another one.
--- a/crates/core/src/gateway/gateway_control/engine_watch.rs
+++ b/crates/core/src/gateway/gateway_control/engine_watch.rs
@@ -104,7 +104,7 @@
         server: &ServerLife,
         to_us: bool,
     ) -> Option<Vec<Evacuation>> {
-        let is_news = self.list.says_it_leaves(now, server);
+        let is_news = self.list.mark_draining(now, server);
         if !self.is_current(server) {
             // Kept for when the list tells of that life, and told nobody.
             return None;
--- a/crates/core/src/gateway/gateway_control/evacuating.rs
+++ b/crates/core/src/gateway/gateway_control/evacuating.rs
@@ -6,7 +6,7 @@
 use super::NOTHING_THERE_RETRY_AFTER;
 use crate::BackendId;
 use crate::EvacuationChange;
-use crate::EvacuationNews;
+use crate::EvacuationUpdate;
 use crate::Moving;
 use crate::Now;
 use crate::PlacementAsk;
@@ -24,7 +24,7 @@
     pub fn offer_evacuations(
         &mut self,
         now: Now,
-        news: EvacuationNews,
+        news: EvacuationUpdate,
     ) -> Option<Vec<EvacuationChange>> {
         let changes = self.evacuations.take(now, news)?;
         self.forget_evacuated_copies();
--- a/crates/core/src/gateway/gateway_control/listing.rs
+++ b/crates/core/src/gateway/gateway_control/listing.rs
@@ -2,13 +2,13 @@
 
 use super::Evacuation;
 use super::GatewayControl;
+use crate::AdvertisedList;
 use crate::BackendId;
 use crate::Now;
 use crate::Replica;
 use crate::ReplicaChange;
 use crate::ReplicaList;
 use crate::Revision;
-use crate::ToldList;
 
 impl GatewayControl {
     /// The list of replicas.
@@ -34,7 +34,7 @@
     }
 
     /// Takes the list of another instance; returns what sessions must do.
-    pub fn hear_list(&mut self, now: Now, told: ToldList) -> Vec<Evacuation> {
+    pub fn hear_list(&mut self, now: Now, told: AdvertisedList) -> Vec<Evacuation> {
         self.list.hear(now, told);
         self.replicas_changed(now)
     }
--- a/crates/core/src/gateway/gateway_control/lives.rs
+++ b/crates/core/src/gateway/gateway_control/lives.rs
@@ -30,7 +30,7 @@
 
     /// Begins with nothing believed of the lives that the list has newly brought.
     pub(super) fn reset_new_lives(&mut self) {
-        for id in self.list.take_begun() {
+        for id in self.list.take_started() {
             self.pauses.remove(&id);
             self.watch.forget(&id);
             self.cold_sends.forget(&id);
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -106,7 +106,7 @@
 
     /// Rises whenever there is more or less that may not be sent, but for rests that are over.
     pub fn stops_version(&self) -> u64 {
-        self.rests.version + self.limits.version() + self.list.leaving_version()
+        self.rests.version + self.limits.version() + self.list.draining_version()
     }
 
     /// What may not be sent now.
@@ -114,7 +114,7 @@
         let rests = self.rests.by_life.iter();
         let resting = rests.filter(|(_, rest)| !rest.left(now).is_zero());
         SendStops {
-            leaving: self.list.lives_that_leave(now),
+            leaving: self.list.draining_incarnations(now),
             resting: resting.map(|(life, rest)| (*life, rest.until())).collect(),
             limited: self.limits.lives(),
         }
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -6,8 +6,8 @@
 use super::FleetMembers;
 use super::MemberState;
 use crate::Now;
-use crate::ReadingWaits;
-use crate::directory::reading_waits::SLOT;
+use crate::ReadTiming;
+use crate::directory::read_timing::READ_DELAY_STEP;
 use crate::rendezvous_rank;
 
 /// Readers of the directory in each availability zone.
@@ -42,7 +42,7 @@
     /// Whether what was confirmed then is older than readers and heartbeats let
     /// it get.
     pub fn is_old(&self, now: Now, confirmed_at: Option<Now>) -> bool {
-        confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).old_after())
+        confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).max_state_age())
     }
 
     /// Whether this instance should watch the platform's directory: by its rank in its zone
@@ -53,8 +53,8 @@
             return true;
         };
         if self.is_old(now, Some(confirmed_at)) {
-            let old_after = self.waits(now).old_after();
-            return now.saturating_sub(confirmed_at) >= old_after + self.slot(now);
+            let max_state_age = self.waits(now).max_state_age();
+            return now.saturating_sub(confirmed_at) >= max_state_age + self.slot(now);
         }
         can_read
             && self.is_reading_zone(now)
@@ -73,8 +73,8 @@
     }
 
     /// The waits of a change in this fleet.
-    pub fn waits(&self, now: Now) -> ReadingWaits {
-        ReadingWaits {
+    pub fn waits(&self, now: Now) -> ReadTiming {
+        ReadTiming {
             has_relays: self.has_relays,
             beat: self.usual_interval(now),
         }
@@ -84,7 +84,9 @@
     fn slot(&self, now: Now) -> Duration {
         let place = self.place(&self.zone, now, |_| true);
         let place = u32::try_from(place).unwrap_or(u32::MAX);
-        SLOT.saturating_mul(place).min(self.waits(now).last_slot())
+        READ_DELAY_STEP
+            .saturating_mul(place)
+            .min(self.waits(now).max_read_delay())
     }
 
     fn is_reading_zone(&self, now: Now) -> bool {
--- a/crates/core/tests/config_scene/instance.rs
+++ b/crates/core/tests/config_scene/instance.rs
@@ -10,13 +10,13 @@
 use iristhread_core::MemberState;
 use iristhread_core::Now;
 use iristhread_core::WatchCycle;
-use iristhread_core::reading_waits::ANSWER_TIMEOUT;
-use iristhread_core::reading_waits::BEFORE_FETCH;
-use iristhread_core::reading_waits::FETCH_TIMEOUT;
-use iristhread_core::reading_waits::FIRST_PAUSE;
-use iristhread_core::reading_waits::LONGEST_PAUSE;
-use iristhread_core::reading_waits::LOOK_AGAIN;
-use iristhread_core::reading_waits::PAUSE_FACTORS;
+use iristhread_core::read_timing::ANSWER_TIMEOUT;
+use iristhread_core::read_timing::FETCH_TIMEOUT;
+use iristhread_core::read_timing::FIRST_PAUSE;
+use iristhread_core::read_timing::LONGEST_PAUSE;
+use iristhread_core::read_timing::MAX_FETCH_DELAY;
+use iristhread_core::read_timing::READ_CHECK_INTERVAL;
+use iristhread_core::read_timing::RETRY_JITTER;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
@@ -207,7 +207,7 @@
     fn look(&mut self, now: Now, reaches: bool) -> u64 {
         if !self.reads(now) {
             self.watched = None;
-            self.reader = Reader::Looks(now + LOOK_AGAIN);
+            self.reader = Reader::Looks(now + READ_CHECK_INTERVAL);
             return 0;
         }
         let after = self.watched.filter(|_| !self.in_trouble);
@@ -250,8 +250,8 @@
         } else if now >= call.sent + call.wait + ANSWER_TIMEOUT {
             self.can_read = false;
             self.in_trouble = true;
-            let width = PAUSE_FACTORS.end - PAUSE_FACTORS.start;
-            let factor = PAUSE_FACTORS.start + width * below(random, 1_000) as f64 / 1_000.0;
+            let width = RETRY_JITTER.end - RETRY_JITTER.start;
+            let factor = RETRY_JITTER.start + width * below(random, 1_000) as f64 / 1_000.0;
             let pause = self.pause.mul_f64(factor);
             self.pause = (self.pause * 2).min(LONGEST_PAUSE);
             self.reader = Reader::Pauses(now + pause);
@@ -270,7 +270,7 @@
         let confirmed_at = self.known_confirmed_at(now);
         let is_ahead = self.members.is_ahead_in_config(now, self.version);
         self.lag.note(now, is_ahead);
-        let is_stuck = self.lag.is_too_long(now, &self.members.waits(now));
+        let is_stuck = self.lag.is_overdue(now, &self.members.waits(now));
         let for_others = is_ahead && self.members.relays(now);
         is_stuck || for_others || self.members.reads(now, confirmed_at, self.can_read)
     }
@@ -384,7 +384,8 @@
         }
         if is_ahead && matches!(self.fetch, Fetch::Idle) {
             self.fetch = Fetch::Waits {
-                until: now + Duration::from_millis(below(random, BEFORE_FETCH.as_millis() as u64)),
+                until: now
+                    + Duration::from_millis(below(random, MAX_FETCH_DELAY.as_millis() as u64)),
                 had: self.version,
             };
         }
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -42,8 +42,8 @@
 /// The grace counts from the end of the outage, not from the removal: a server
 /// that leaves in good order soon after an outage gets nothing new for longer
 /// than the users allow otherwise (hunt-e87f-3 of cmuca-cotacao).
-#[test_case(5_010, ListedState::Lapsed; "at the end of the outage")]
-#[test_case(6_990, ListedState::Lapsed; "within two seconds")]
+#[test_case(5_010, ListedState::Expired; "at the end of the outage")]
+#[test_case(6_990, ListedState::Expired; "within two seconds")]
 #[test_case(7_010, ListedState::Removed; "later")]
 fn an_entry_that_is_removed_after_an_outage(at_ms: u64, expected: ListedState) {
     let mut list = list();
@@ -72,7 +72,7 @@
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.snapshot(ms(5_010), 12, Vec::new());
-    assert_eq!(list.state("e1"), ListedState::Lapsed);
+    assert_eq!(list.state("e1"), ListedState::Expired);
     list.change(
         ms(6_500),
         13,
@@ -96,7 +96,7 @@
     list.outage_ended(ms(5_000));
     list.outage_ended(ms(3_000));
     list.change(ms(6_000), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
-    assert_eq!(list.state("e1"), ListedState::Lapsed);
+    assert_eq!(list.state("e1"), ListedState::Expired);
 }
 
 /// An instance that fetches the list from a peer must not take a lapsed entry
@@ -108,7 +108,7 @@
     source.snapshot(ms(5_100), 12, Vec::new());
     let mut fetched = list();
     fetched.hear(ms(5_300), source.told(ms(5_300)));
-    assert_eq!(fetched.state("e1"), ListedState::Lapsed);
+    assert_eq!(fetched.state("e1"), ListedState::Expired);
     fetched.expire(ms(7_000));
     assert_eq!(fetched.state("e1"), ListedState::Removed);
 }
--- a/crates/core/tests/gateway_homes.rs
+++ b/crates/core/tests/gateway_homes.rs
@@ -101,12 +101,12 @@
 #[test]
 fn a_home_that_is_evacuated_is_left_to_nobody_else() {
     let mut control = two_regions();
-    let told = iristhread_core::ToldEvacuations {
+    let told = iristhread_core::AdvertisedEvacuations {
         revision: 2.into(),
         zones: vec!["z2".to_owned()],
     };
     control
-        .offer_evacuations(NOW, iristhread_core::EvacuationNews::Whole(told))
+        .offer_evacuations(NOW, iristhread_core::EvacuationUpdate::Whole(told))
         .unwrap();
     let refusal = control.place(NOW, at_home("r", &["south"])).unwrap_err();
     assert!(refusal.message.contains("evacuated"), "{}", refusal.message);
--- a/crates/core/tests/gateway_notices.rs
+++ b/crates/core/tests/gateway_notices.rs
@@ -202,7 +202,7 @@
     let mut control = control_with_lives(&["a"]);
     control.outage_ended(NOW);
     control.change_replicas(NOW, 11, vec![ReplicaChange::Removed("a".to_owned())]);
-    assert_eq!(control.list().state("a"), ListedState::Lapsed);
+    assert_eq!(control.list().state("a"), ListedState::Expired);
     notice(&mut control, NOW, &born("a", 1), LEAVES);
     assert_eq!(chosen(&mut control, NOW + ms(10), "r1"), None);
     let again = vec![ReplicaChange::Listed(born("a", 1))];
--- a/crates/daemon/src/completion/control_message.rs
+++ b/crates/daemon/src/completion/control_message.rs
@@ -130,7 +130,7 @@
         reply: oneshot::Sender<Vec<(BackendId, SocketAddr)>>,
     },
     /// The instance list is wanted.
-    Roster {
+    InstanceList {
         /// Gets it.
         reply: oneshot::Sender<Vec<InstanceEntry>>,
     },
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -345,7 +345,7 @@
             instance: instance.clone(),
         },
     );
-    let ask = |reply| ControlMessage::Roster { reply };
+    let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await.unwrap_or_default();
     let mut entries = entries.into_iter();
     let Some(entry) = entries.find(|entry| entry.instance == instance) else {
--- a/crates/daemon/src/directory/list_reader.rs
+++ b/crates/daemon/src/directory/list_reader.rs
@@ -7,8 +7,8 @@
 use iristhread_core::Now;
 use iristhread_core::Revision;
 use iristhread_core::WatchCycle;
-use iristhread_core::reading_waits::FIRST_PAUSE;
-use iristhread_core::reading_waits::LOOK_AGAIN;
+use iristhread_core::read_timing::FIRST_PAUSE;
+use iristhread_core::read_timing::READ_CHECK_INTERVAL;
 use slog::Logger;
 use slog::info;
 
@@ -77,7 +77,7 @@
                 if !is_lost {
                     trouble.left_to_others(&self.log);
                 }
-                tokio::time::sleep(LOOK_AGAIN).await;
+                tokio::time::sleep(READ_CHECK_INTERVAL).await;
                 continue;
             }
             let after = own.list_revision;
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -3,11 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
+use iristhread_core::AdvertisedList;
 use iristhread_core::BackendId;
 use iristhread_core::CarryTarget;
 use iristhread_core::ConfigVersion;
 use iristhread_core::EngineChecks;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::GatewayConfig;
 use iristhread_core::GatewayTerms;
 use iristhread_core::HeardNotice;
@@ -22,9 +24,7 @@
 use iristhread_core::RunEnd;
 use iristhread_core::ServerLife;
 use iristhread_core::SessionSignal;
-use iristhread_core::ToldEvacuations;
 use iristhread_core::ToldLimit;
-use iristhread_core::ToldList;
 use iristhread_core::ToldLoads;
 use iristhread_core::ToldSuspect;
 use iristhread_core::ZoneDigest;
@@ -52,7 +52,7 @@
     /// Replicas that took no connection of it lately.
     pub unreachable: Vec<ServerLife>,
     /// The evacuated zones.
-    pub evacuations: ToldEvacuations,
+    pub evacuations: AdvertisedEvacuations,
     /// Contents that are suspected to end backend servers; none where the state is not
     /// for a heartbeat.
     pub suspects: Vec<ToldSuspect>,
@@ -86,7 +86,7 @@
     /// The configuration in force.
     pub config: Option<Arc<GatewayConfig>>,
     /// The list of replicas, or its changes since the peer read it.
-    pub list: ToldList,
+    pub list: AdvertisedList,
 }
 
 /// What became of a request that wants a backend server.
@@ -290,7 +290,7 @@
     /// Evacuations of zones were read or heard.
     Evacuations {
         /// What is known of them.
-        news: EvacuationNews,
+        news: EvacuationUpdate,
         /// Who had it.
         source: String,
     },
@@ -306,7 +306,7 @@
     /// The list of another instance was fetched.
     PeerList {
         /// The list.
-        list: ToldList,
+        list: AdvertisedList,
         /// Who had it.
         source: String,
     },
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -7,7 +7,7 @@
 use iristhread_core::ConfigVerdict;
 use iristhread_core::Evacuation;
 use iristhread_core::EvacuationChange;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::Fingerprint;
 use iristhread_core::GatewayConfig;
 use iristhread_core::HeardNotice;
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn evacuations(&mut self, news: EvacuationNews, source: &str) {
+    pub(super) fn evacuations(&mut self, news: EvacuationUpdate, source: &str) {
         let now = self.clock.now();
         let Some(changes) = self.control.offer_evacuations(now, news) else {
             return;
@@ -220,7 +220,7 @@
         warn!(self.log, "directory came back from an older copy";
             "from" => %before, "to" => %revision, "source" => source,
             "lacking" => format!("{:?}", list.lapsed()),
-            "back" => format!("{:?}", list.unproven(now)));
+            "back" => format!("{:?}", list.unconfirmed(now)));
     }
 
     pub(super) fn list_taken(&mut self, evacuations: Vec<Evacuation>) {
--- a/crates/daemon/src/gateway/gateway_thread/telling.rs
+++ b/crates/daemon/src/gateway/gateway_thread/telling.rs
@@ -38,7 +38,10 @@
         let table = self.control.table();
         KnownState {
             config: table.map(|table| table.config().clone()),
-            list: self.control.list().told_since(self.clock.now(), list_above),
+            list: self
+                .control
+                .list()
+                .delta_since(self.clock.now(), list_above),
         }
     }
 }
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -6,11 +6,11 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
 use iristhread_core::Arrival;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::FleetMembers;
 use iristhread_core::MemberState;
-use iristhread_core::ToldEvacuations;
 use iristhread_core::ToldLoads;
 use slog::info;
 use slog::warn;
@@ -174,7 +174,7 @@
     }
 
     /// Most heartbeats bring nothing new; the decisions are not bothered with those.
-    fn take_evacuations(&self, told: ToldEvacuations, source: &str) {
+    fn take_evacuations(&self, told: AdvertisedEvacuations, source: &str) {
         let is_news = {
             let heard = self.evacuations_heard.lock();
             let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
@@ -184,7 +184,7 @@
         };
         if is_news {
             self.control.tell(GatewayMessage::Evacuations {
-                news: EvacuationNews::Whole(told),
+                news: EvacuationUpdate::Whole(told),
                 source: source.to_owned(),
             });
         }
--- a/crates/daemon/src/peers/heartbeat.rs
+++ b/crates/daemon/src/peers/heartbeat.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
 use iristhread_core::ConfigVersion;
 use iristhread_core::Incarnation;
 use iristhread_core::InstanceId;
@@ -12,7 +13,6 @@
 use iristhread_core::ReplicaChange;
 use iristhread_core::Revision;
 use iristhread_core::ServerLife;
-use iristhread_core::ToldEvacuations;
 use iristhread_core::ToldLimit;
 use iristhread_core::ToldSuspect;
 use iristhread_core::ZoneDigest;
@@ -101,7 +101,7 @@
     /// Backend servers that took no connection of it lately.
     pub unreachable: Vec<ServerLife>,
     /// The zones that are evacuated.
-    pub evacuations: ToldEvacuations,
+    pub evacuations: AdvertisedEvacuations,
     /// Contents of requests that it suspects to end backend servers.
     pub suspects: Vec<ToldSuspect>,
     /// The latest changes of the list.
--- a/crates/daemon/src/peers/peer_message.rs
+++ b/crates/daemon/src/peers/peer_message.rs
@@ -2,6 +2,7 @@
 
 use iristhread_api::ConfigReply;
 use iristhread_api::InstancesReply;
+use iristhread_core::AdvertisedList;
 use iristhread_core::ConfigVersion;
 use iristhread_core::Content;
 use iristhread_core::Fingerprint;
@@ -12,7 +13,6 @@
 use iristhread_core::RequestId;
 use iristhread_core::Revision;
 use iristhread_core::TimelineRecord;
-use iristhread_core::ToldList;
 use iristhread_core::ToldSuspect;
 use iristhread_core::WorkspaceId;
 use serde::Deserialize;
@@ -156,7 +156,7 @@
         config: Option<Box<Packed<GatewayConfig>>>,
         /// The list of backend servers, or what has changed since, if it is newer than the
         /// asker's.
-        list: Option<Packed<ToldList>>,
+        list: Option<Packed<AdvertisedList>>,
     },
     /// The time line.
     Timeline {
