--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,5 +1,5 @@
-//! What the platform publishes: who reads it and when, the lists that it gives, and how far an
-//! instance is with them.
+//! The data that the platform's directory publishes: which instances read it and when, the
+//! lists of servers, instances and evacuations, and their revisions.
 
 pub(crate) mod instance_list;
 pub(crate) mod known_versions;
--- a/crates/core/src/directory/instance_list.rs
+++ b/crates/core/src/directory/instance_list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of instances, joined with what peers say.
+//! The platform's list of instances, which may lag, joined with the reports of peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,60 +13,60 @@
 use crate::Now;
 use crate::ZoneId;
 
-/// Whether an instance is meant to stay.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It serves.
+    /// Serves requests.
     Live,
-    /// It is stopping.
+    /// Draining before it stops.
     Leaving,
 }
 
-/// One line of the platform's instance list.
+/// One entry of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceEntry {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Where it stands.
+    /// Availability zone of the instance.
     pub availability_zone: ZoneId,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub peer_address: SocketAddr,
-    /// Live or leaving.
+    /// Whether the instance is live or draining.
     pub state: InstanceState,
 }
 
-/// What a peer said about itself.
+/// The last report of a peer about itself.
 #[derive(Clone, Debug)]
-struct Heard {
+struct PeerReport {
     incarnation: Incarnation,
     config_version: ConfigVersion,
     at: Now,
 }
 
-/// Instances as this process believes them to be.
+/// This process's view of the instances.
 #[derive(Debug, Default)]
 pub struct InstanceList {
     version: u64,
     entries: BTreeMap<InstanceId, InstanceEntry>,
-    heard: BTreeMap<InstanceId, Heard>,
+    reports: BTreeMap<InstanceId, PeerReport>,
 }
 
 impl InstanceList {
-    /// Takes a list from the platform or a peer; an older one is ignored.
+    /// Applies a list from the platform or a peer; returns false for one that is not newer.
     pub fn offer(&mut self, version: u64, entries: Vec<InstanceEntry>) -> bool {
         if version <= self.version {
             return false;
         }
         self.version = version;
-        let named = entries.into_iter().map(|e| (e.instance.clone(), e));
-        self.entries = named.collect();
-        self.heard.retain(|id, _| self.entries.contains_key(id));
+        let by_id = entries.into_iter().map(|e| (e.instance.clone(), e));
+        self.entries = by_id.collect();
+        self.reports.retain(|id, _| self.entries.contains_key(id));
         true
     }
 
-    /// Notes a message from a listed peer.
+    /// Records a message from a listed peer; one from an unlisted instance is ignored.
     pub fn hear(
         &mut self,
         now: Now,
@@ -74,13 +74,13 @@
         incarnation: &Incarnation,
         config_version: ConfigVersion,
     ) {
-        let heard = Heard {
+        let report = PeerReport {
             incarnation: incarnation.clone(),
             config_version,
             at: now,
         };
         if self.entries.contains_key(instance) {
-            self.heard.insert(instance.clone(), heard);
+            self.reports.insert(instance.clone(), report);
         }
     }
 
@@ -89,32 +89,32 @@
         self.version
     }
 
-    /// The lines, by name.
+    /// Returns the entries, ordered by name.
     pub fn entries(&self) -> impl Iterator<Item = &InstanceEntry> {
         self.entries.values()
     }
 
-    /// One line.
+    /// Returns the entry of an instance.
     pub fn entry(&self, instance: &str) -> Option<&InstanceEntry> {
         self.entries.get(instance)
     }
 
-    /// Live instances of a zone.
+    /// Returns the live instances of a zone.
     pub fn live_in(&self, zone: &str) -> Vec<&InstanceEntry> {
-        let wanted =
+        let is_live_here =
             |e: &&InstanceEntry| e.availability_zone == zone && e.state == InstanceState::Live;
-        self.entries().filter(wanted).collect()
+        self.entries().filter(is_live_here).collect()
     }
 
-    /// Time since the instance was last heard, `None` if never.
+    /// Returns the time since the last message of the instance, `None` without any.
     pub fn silence(&self, now: Now, instance: &str) -> Option<Duration> {
-        let heard = self.heard.get(instance)?;
-        Some(now.saturating_sub(heard.at))
+        let report = self.reports.get(instance)?;
+        Some(now.saturating_sub(report.at))
     }
 
-    /// What a peer last said: its process life and configuration version.
+    /// Returns the process incarnation and the configuration version of the last report.
     pub fn last_said(&self, instance: &str) -> Option<(&Incarnation, ConfigVersion)> {
-        let heard = self.heard.get(instance)?;
-        Some((&heard.incarnation, heard.config_version))
+        let report = self.reports.get(instance)?;
+        Some((&report.incarnation, report.config_version))
     }
 }
--- a/crates/core/src/directory/known_versions.rs
+++ b/crates/core/src/directory/known_versions.rs
@@ -1,4 +1,4 @@
-//! How far an instance is with what the platform publishes.
+//! The versions of the published data that an instance holds.
 
 use crate::ConfigVersion;
 use crate::Revision;
@@ -13,12 +13,12 @@
 }
 
 impl KnownVersions {
-    /// Whether an instance that had this a while ago and has `own` now still lacks
-    /// something that a peer had then. Each of the two is judged by itself: a list that
-    /// changes all the time would otherwise hide that the configuration is stuck.
+    /// Returns whether an instance that held `self` earlier and holds `own` now still lacks a
+    /// version that a peer had at the earlier time. The two versions are compared separately:
+    /// a list that changes constantly would otherwise hide a stuck configuration.
     pub fn is_stuck(&self, own: &KnownVersions, peers: &KnownVersions) -> bool {
-        let config_is = peers.config > own.config && own.config == self.config;
-        let list_is = peers.list > own.list && own.list == self.list;
-        config_is || list_is
+        let is_config_stuck = peers.config > own.config && own.config == self.config;
+        let is_list_stuck = peers.list > own.list && own.list == self.list;
+        is_config_stuck || is_list_stuck
     }
 }
--- a/crates/core/src/directory/read_timing.rs
+++ b/crates/core/src/directory/read_timing.rs
@@ -1,76 +1,80 @@
-//! The waits through which a change of the directory goes until it is in force at an instance
-//! that nothing has struck, and what they add up to at most, whatever strikes the others.
+//! The timeouts and delays that a change of the directory passes through until it is in force
+//! at an instance without faults of its own, and their sums: upper bounds on the time to apply a
+//! change, whichever faults the other instances have.
 
 use std::time::Duration;
 
-/// Longest time that a watch waits: the others notice within it, and two heartbeats, when a
-/// reader is cut off without a word; and the answer of a watch may be lost.
+/// Longest wait of a watch. Within it and two heartbeats, the peers detect that a reader has
+/// lost its connection without an error. The answer of a watch may also be lost.
 pub const WATCH: Duration = Duration::from_secs(1);
 
-/// Longest wait for an answer on top of what a watch waits: many times what a slow directory
+/// Longest wait for an answer, on top of the wait of a watch: many times what a slow directory
 /// takes.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks at whether an instance should read.
+/// Interval between two checks of whether an instance should read.
 pub const READ_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// First pause after a failed call; doubles with each further one.
+/// Delay before the first retry of a failed call; it doubles with each further failure.
 pub const FIRST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause: a directory that is back is noticed within it, and lapsed
-/// entries are back within two seconds.
+/// Longest delay between retries. A directory that is available again is detected within it,
+/// so that expired entries are back within two seconds.
 pub const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 
-/// Factors between which a pause is drawn, so that instances call apart.
+/// Range of the random factor on a retry delay, which spreads the calls of the instances.
 pub const RETRY_JITTER: std::ops::Range<f64> = 0.7..1.3;
 
-/// Longest wait of an instance that lacks a configuration before it asks a peer, drawn by
-/// chance, so that not all ask the first that has it; the list's news are usually under way.
+/// Upper bound of the random delay before an instance that lacks a configuration queries a
+/// peer. The delay keeps all instances from querying the first peer that has it; updates of
+/// the list are usually in flight already.
 pub const MAX_FETCH_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest wait for a peer's answer.
+/// Timeout of a fetch from a peer.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Time for which a peer may have a newer configuration until an instance reads by itself:
-/// a fetch takes less.
+/// Time for which a peer may have a newer configuration until the instance reads the directory
+/// itself. A fetch from a peer takes less.
 pub const MAX_CONFIG_LAG: Duration = Duration::from_millis(700);
 
-/// The same in a fleet with relays, which read it first; large configurations then
-/// take a second to be handed on.
+/// [`MAX_CONFIG_LAG`] in a fleet with relays: relays read the configuration first, and a
+/// large one then takes a second to be forwarded.
 pub const MAX_CONFIG_LAG_WITH_RELAYS: Duration = Duration::from_millis(1_400);
 
-/// Age of what is known from which an instance reads by itself: a reader's watch, and a
-/// heartbeat after one that was lost.
+/// Age of the last confirmation from which an instance reads the directory itself: a reader's
+/// watch, and a heartbeat after one that was lost.
 pub const MAX_STATE_AGE: Duration = Duration::from_millis(1_350);
 
-/// The same in a fleet with relays, on top of two heartbeats: news come by up to three ways.
+/// [`MAX_STATE_AGE`] in a fleet with relays, on top of two heartbeats: an update takes up to
+/// three hops.
 pub const MAX_STATE_AGE_WITH_RELAYS: Duration = Duration::from_millis(1_300);
 
-/// By how much the next instance of a zone waits longer until it reads by itself: the one
-/// before has told by then what it read.
+/// Difference between the read delays of two successive instances of a zone: the first has
+/// advertised what it read by the time the second would read.
 pub const READ_DELAY_STEP: Duration = Duration::from_millis(30);
 
-/// Longest such wait.
+/// Longest read delay.
 pub const MAX_READ_DELAY: Duration = Duration::from_millis(150);
 
-/// The same in a fleet with relays, where a directory that is well can't answer all at once.
+/// [`MAX_READ_DELAY`] in a fleet with relays, where even a healthy directory can't answer all
+/// instances at once.
 pub const MAX_READ_DELAY_WITH_RELAYS: Duration = Duration::from_millis(400);
 
-/// Time in which a directory that is well answers a whole reading by a new connection, and
-/// the configuration is taken: a megabyte over a small link.
+/// Time in which a healthy directory answers a full read over a new connection and the
+/// configuration is applied: a megabyte over a slow link.
 pub const FULL_READ_TIME: Duration = Duration::from_millis(250);
 
-/// What the waits add up to in one fleet.
+/// The timing of one fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadTiming {
-    /// Whether it has relays.
+    /// Whether the fleet has relays.
     pub has_relays: bool,
-    /// Time between two heartbeats.
+    /// Interval between two heartbeats.
     pub beat: Duration,
 }
 
 impl ReadTiming {
-    /// Age from which an instance reads by itself.
+    /// Age of the last confirmation from which an instance reads the directory itself.
     pub fn max_state_age(&self) -> Duration {
         match self.has_relays {
             true => MAX_STATE_AGE_WITH_RELAYS + self.beat * 2,
@@ -78,7 +82,7 @@
         }
     }
 
-    /// How much later the last of a zone does so than the first.
+    /// Longest read delay among the instances of a zone.
     pub fn max_read_delay(&self) -> Duration {
         match self.has_relays {
             true => MAX_READ_DELAY_WITH_RELAYS,
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Time for which an instance waits for peers that are ahead.
+    /// Time for which an instance waits for peers that have a newer configuration.
     pub fn max_config_lag(&self) -> Duration {
         match self.has_relays {
             true => MAX_CONFIG_LAG_WITH_RELAYS,
@@ -94,24 +98,26 @@
         }
     }
 
-    /// From a change until it is in force where nobody tells of it: what was confirmed just
-    /// before gets old, and the instance reads by itself.
+    /// Bound on the time until a change is in force if no peer advertises it: the state was
+    /// confirmed just before the change, reaches its maximum age, and the instance reads.
     pub fn bound_without_update(&self) -> Duration {
         self.max_state_age() + self.max_read_delay() + READ_CHECK_INTERVAL + FULL_READ_TIME
     }
 
-    /// The same where peers tell of it and none hands it over; the first heartbeat is lost.
+    /// Bound on the time until a change is in force if peers advertise it and no fetch
+    /// succeeds. The first heartbeat is lost.
     pub fn bound_without_transfer(&self) -> Duration {
         self.beat + self.max_config_lag() + READ_CHECK_INTERVAL + FULL_READ_TIME
     }
 
-    /// From the moment at which a watch falls silent until its instance has read all anew.
+    /// Bound on the time from the stall of a watch until its instance has read everything again.
     pub fn bound_after_stall(&self) -> Duration {
         WATCH + ANSWER_TIMEOUT + FIRST_PAUSE.mul_f64(RETRY_JITTER.end) + FULL_READ_TIME
     }
 
-    /// From the end of trouble between an instance and the directory until it has read all: it
-    /// has just called in vain, and then waits for the longest pause.
+    /// Bound on the time from the end of an outage between an instance and the directory until
+    /// it has read everything: a call has just begun and fails, and the longest retry delay
+    /// follows.
     pub fn bound_after_outage(&self) -> Duration {
         ANSWER_TIMEOUT + LONGEST_PAUSE.mul_f64(RETRY_JITTER.end) + FULL_READ_TIME
     }
--- a/crates/core/src/directory/reader_ranking.rs
+++ b/crates/core/src/directory/reader_ranking.rs
@@ -1,4 +1,4 @@
-//! Which instances of an availability zone read the platform.
+//! Selects the instances of an availability zone that read the platform.
 
 use std::time::Duration;
 
@@ -7,23 +7,23 @@
 use crate::ZoneId;
 use crate::rendezvous_rank;
 
-/// Readers in each availability zone while all are well.
+/// Number of readers in each availability zone in normal operation.
 const READERS_PER_ZONE: usize = 2;
 
-/// Age of the configuration's last confirmation that is normal: the length of
-/// a watch and the time that the news needs through the zone.
-const NORMAL_AGE: Duration = Duration::from_secs(12);
+/// Highest normal age of the configuration's last confirmation: the length of a watch plus the
+/// time that an update takes to reach all instances of the zone.
+const MAX_NORMAL_AGE: Duration = Duration::from_secs(12);
 
 /// Time after which the number of readers doubles again.
-const DOUBLING: Duration = Duration::from_secs(5);
+const DOUBLING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Doublings beyond which more change nothing.
+/// Limit on the number of doublings; more would not add readers.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Decides for one instance from its rank by rendezvous hash and the age of the
-/// last confirmation, which peers pass on: a young one proves that somebody
-/// reads. Where rosters differ, a few readers too many cost reads, never
-/// correctness. See `docs/design/0004-configuration.md`.
+/// Decides whether one instance reads, from its rank by rendezvous hash and the age of the last
+/// confirmation. Peers forward confirmations, so a recent one proves that some instance reads.
+/// If the instance lists of two instances differ, there may be a few readers too many: that
+/// costs reads, but never correctness. See `docs/design/0004-configuration.md`.
 #[derive(Debug)]
 pub struct ReaderRanking {
     instance: InstanceId,
@@ -31,30 +31,29 @@
 }
 
 impl ReaderRanking {
-    /// Creates the rota of one instance.
+    /// Creates the ranking for one instance of a zone.
     pub fn new(instance: InstanceId, zone: ZoneId) -> Self {
         ReaderRanking { instance, zone }
     }
 
-    /// Whether this instance reads the platform now; `age` is the time since
-    /// the platform last confirmed the configuration, to anyone's knowledge.
+    /// Returns whether this instance reads the platform now. `age` is the time since the
+    /// platform last confirmed the configuration to any instance, as far as known here.
     ///
-    /// An instance that is not on the list, or has none, reads: it has nobody
-    /// to ask.
+    /// An instance that is not on the list, or has no list, reads: it has no peer to query.
     pub fn reads(&self, instance_list: &InstanceList, age: Duration) -> bool {
         let live = instance_list.live_in(&self.zone);
-        let names = live.iter().map(|entry| entry.instance.as_str());
-        let rank = rendezvous_rank(&self.zone, names);
-        let place = rank.iter().position(|name| *name == self.instance);
-        place.is_none_or(|place| place < readers(age))
+        let ids = live.iter().map(|entry| entry.instance.as_str());
+        let rank = rendezvous_rank(&self.zone, ids);
+        let position = rank.iter().position(|id| *id == self.instance);
+        position.is_none_or(|position| position < readers(age))
     }
 }
 
 fn readers(age: Duration) -> usize {
-    let Some(late) = age.checked_sub(NORMAL_AGE) else {
+    let Some(overdue) = age.checked_sub(MAX_NORMAL_AGE) else {
         return READERS_PER_ZONE;
     };
-    let doublings = late.as_secs() / DOUBLING.as_secs() + 1;
+    let doublings = overdue.as_secs() / DOUBLING_INTERVAL.as_secs() + 1;
     let doublings = u32::try_from(doublings).unwrap_or(MAX_DOUBLINGS);
     READERS_PER_ZONE << doublings.min(MAX_DOUBLINGS)
 }
--- a/crates/core/src/directory/replica.rs
+++ b/crates/core/src/directory/replica.rs
@@ -1,4 +1,4 @@
-//! One backend server as the platform lists it.
+//! The entry of a backend server in the directory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,41 +11,41 @@
 use crate::ZoneId;
 use crate::membership::rendezvous::weight;
 
-/// One life of a backend server. A restart is another life, at times under the same id,
-/// and an address may later belong to a replica of another service.
+/// One incarnation of a backend server. A restart begins a new incarnation, which may have the
+/// same id, and an address may later belong to a replica of another service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Names it; at times kept over a restart.
+    /// Id of the server; it may stay the same across a restart.
     pub id: BackendId,
-    /// When this life began, in milliseconds since 1970; `None` where the platform does
-    /// not tell.
+    /// Start time of this incarnation, in milliseconds since 1970; `None` if the platform does
+    /// not publish it.
     pub born_ms: Option<u64>,
-    /// The service that it runs.
+    /// Name of the service that it runs.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub availability_zone: ZoneId,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving: no new work goes there.
+    /// Whether it is draining: it receives no new work.
     pub leaving: bool,
-    /// How much longer it is cold, when this was written: after a start, and at times
-    /// later, it is slow and bears few requests.
+    /// Remaining warm-up time when the entry was written. After a start, and sometimes later,
+    /// the server is slow and can handle few requests.
     pub warm_up: Duration,
 }
 
-/// A backend server in one of its lives.
+/// Identifies one incarnation of a backend server.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServerLife {
-    /// Its name.
+    /// Id of the server.
     pub id: BackendId,
-    /// Which life.
+    /// Identifies the incarnation.
     pub life: LifeId,
 }
 
 impl Replica {
-    /// This life of it, for news about it.
+    /// Returns the key of this incarnation, for updates about it.
     pub fn server_life(&self) -> ServerLife {
         ServerLife {
             id: self.id.clone(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Identifies this life of it.
+    /// Returns an identifier of this incarnation, derived from the id and the start time.
     pub fn life(&self) -> LifeId {
         let born = self.born_ms.map_or(String::new(), |born| born.to_string());
         weight(&self.id, &born)
--- a/crates/core/src/directory/revision.rs
+++ b/crates/core/src/directory/revision.rs
@@ -1,41 +1,42 @@
-//! What orders two readings of the platform's directory.
+//! The revision of the platform's directory, which orders what was read from it.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A moment of the directory. It counts its changes; when it comes back from an older copy,
-/// the count goes back and is given out again, and its era rises. So whatever is of a later
-/// era is newer, whatever its count; this is the only place that compares them.
+/// A revision of the directory. The directory counts its changes. When it is restored from an
+/// older copy, the count goes back, the same counts are assigned again, and its era rises. A
+/// revision of a later era is therefore newer, whatever its count. This type is the only place
+/// that compares eras and counts.
 ///
-/// A directory that names no era is in era 0 all the time.
+/// A directory that publishes no era is always in era 0.
 #[derive(
     Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the directory came back from a copy.
+    /// Number of times that the directory was restored from a copy.
     pub era: u64,
-    /// Changes counted, 0 before the first.
+    /// Number of changes, 0 before the first.
     pub count: u64,
 }
 
 impl Revision {
-    /// Before anything was read.
+    /// The revision before anything was read.
     pub const NONE: Revision = Revision { era: 0, count: 0 };
 
-    /// Whether nothing was read.
+    /// Returns whether nothing was read yet.
     pub fn is_none(&self) -> bool {
         *self == Revision::NONE
     }
 
-    /// Whether changes that follow the other one can be told: not across eras.
+    /// Returns whether changes above `other` can be applied to this revision. False across eras.
     pub fn follows(&self, other: &Revision) -> bool {
         self.era == other.era && self.count >= other.count
     }
 }
 
-/// A count of a directory that names no era.
+/// Converts a count of a directory that publishes no era.
 impl From<u64> for Revision {
     fn from(count: u64) -> Revision {
         Revision { era: 0, count }
--- a/crates/core/src/directory/zone_evacuations.rs
+++ b/crates/core/src/directory/zone_evacuations.rs
@@ -1,5 +1,5 @@
-//! Availability zones that the operators have asked to empty: nothing new is sent to
-//! the backend servers there until the order is taken back.
+//! Availability zones that the operators have ordered to evacuate: no new work is sent to the
+//! backend servers there until the order is withdrawn.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,67 +11,67 @@
 use crate::Revision;
 use crate::ZoneId;
 
-/// How long after an instance has learned of an evacuation it still sends what it had
-/// chosen a backend server for before: a session on its way to a copy there would
-/// otherwise be lost. Copies take up to a second; the users allow five seconds for all.
-const UNDER_WAY: Duration = Duration::from_millis(1_500);
+/// Time after learning of an evacuation during which an instance still sends requests whose
+/// backend server was chosen before: a session that is failing over to a backup there would
+/// otherwise be lost. Copies take up to a second; the requirement allows five seconds in total.
+const IN_FLIGHT_GRACE: Duration = Duration::from_millis(1_500);
 
-/// Time in which operators and backend servers write again what a copy of the directory
-/// lacks, as the users promise.
-const REWRITTEN_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which operators and backend servers are required to rewrite what a restored copy of
+/// the directory lacks.
+const REWRITE_GRACE: Duration = Duration::from_secs(2);
 
-/// One order of the operators.
+/// One change of the operators' evacuation orders.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EvacuationChange {
-    /// A zone is to be emptied.
+    /// The evacuation of a zone was ordered.
     Began(ZoneId),
-    /// The order for a zone was taken back.
+    /// The order for a zone was withdrawn.
     Ended(ZoneId),
 }
 
-/// All zones that are to be empty, as instances tell each other.
+/// All evacuated zones, as instances advertise them to each other.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AdvertisedEvacuations {
-    /// Revision of the platform's directory at which exactly these were evacuated.
+    /// Revision of the platform's directory at which exactly these zones were evacuated.
     pub revision: Revision,
-    /// The zones, in order.
+    /// The zones, sorted by name.
     pub zones: Vec<ZoneId>,
 }
 
-/// What the directory says of evacuations.
+/// An update of the evacuations from the directory.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EvacuationUpdate {
-    /// All of them.
+    /// The full set of evacuated zones.
     Whole(AdvertisedEvacuations),
-    /// What changed between two revisions.
+    /// The changes between two revisions.
     Changed {
-        /// Revision before the changes.
+        /// Revision before the first change.
         after: Revision,
-        /// Revision after them.
+        /// Revision after the last change.
         revision: Revision,
         /// The changes, in order.
         changes: Vec<EvacuationChange>,
     },
 }
 
-/// The evacuated zones to the knowledge of one instance. Whatever has a higher revision
-/// replaces what has a lower one, so that a late message undoes nothing.
+/// The evacuated zones as known to one instance. State of a higher revision replaces that of a
+/// lower one, so that a delayed message undoes nothing.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneEvacuations {
     revision: Revision,
-    /// When this instance learned of each.
+    /// Time at which this instance learned of each evacuation.
     known_since: BTreeMap<ZoneId, Now>,
-    /// Those that a copy of the directory lacks, and when they end unless they are ordered
-    /// again.
+    /// Evacuations that a restored copy of the directory lacks, and the time at which they end
+    /// unless they are ordered again.
     unconfirmed: BTreeMap<ZoneId, Now>,
 }
 
 impl ZoneEvacuations {
-    /// Takes news; returns what is different now, `None` when they are not newer than
-    /// what is known or something before them is missing.
-    pub fn take(&mut self, now: Now, news: EvacuationUpdate) -> Option<Vec<EvacuationChange>> {
-        match news {
-            EvacuationUpdate::Whole(told) => self.take_whole(now, told),
+    /// Applies an update; returns the changes that took effect. `None` if the update is not
+    /// newer than the known state or changes before it are missing.
+    pub fn take(&mut self, now: Now, update: EvacuationUpdate) -> Option<Vec<EvacuationChange>> {
+        match update {
+            EvacuationUpdate::Whole(advertised) => self.take_full(now, advertised),
             EvacuationUpdate::Changed {
                 after,
                 revision,
@@ -80,37 +80,37 @@
         }
     }
 
-    fn take_whole(
+    fn take_full(
         &mut self,
         now: Now,
-        told: AdvertisedEvacuations,
+        advertised: AdvertisedEvacuations,
     ) -> Option<Vec<EvacuationChange>> {
-        if told.revision <= self.revision {
+        if advertised.revision <= self.revision {
             return None;
         }
-        let is_copy = told.revision.era > self.revision.era && !self.revision.is_none();
+        let is_copy = advertised.revision.era > self.revision.era && !self.revision.is_none();
         let known = self.known_since.keys();
         let missing: Vec<ZoneId> = known
-            .filter(|zone| !told.zones.contains(zone))
+            .filter(|zone| !advertised.zones.contains(zone))
             .cloned()
             .collect();
         if is_copy {
-            // Sending to a zone that is to be empty would break the order; keeping away from
-            // one that no longer is costs a moment.
-            let ends = now + REWRITTEN_WITHIN;
+            // Sending to an evacuated zone would break the order; avoiding a zone that is no
+            // longer evacuated only costs a short time.
+            let ends = now + REWRITE_GRACE;
             self.unconfirmed = missing.into_iter().map(|zone| (zone, ends)).collect();
-            let began = told.zones.into_iter().map(EvacuationChange::Began);
-            return Some(self.apply(now, told.revision, began.collect()));
+            let began = advertised.zones.into_iter().map(EvacuationChange::Began);
+            return Some(self.apply(now, advertised.revision, began.collect()));
         }
         let ended = missing
             .into_iter()
             .filter(|zone| !self.unconfirmed.contains_key(zone));
         let mut changes: Vec<EvacuationChange> = ended.map(EvacuationChange::Ended).collect();
-        changes.extend(told.zones.into_iter().map(EvacuationChange::Began));
-        Some(self.apply(now, told.revision, changes))
+        changes.extend(advertised.zones.into_iter().map(EvacuationChange::Began));
+        Some(self.apply(now, advertised.revision, changes))
     }
 
-    /// The last word about a zone counts, so that changes may overlap what is known.
+    /// Applies changes. The last change of a zone counts, so changes may overlap the known state.
     fn change(
         &mut self,
         now: Now,
@@ -118,8 +118,8 @@
         revision: Revision,
         changes: Vec<EvacuationChange>,
     ) -> Option<Vec<EvacuationChange>> {
-        let joins = self.revision.follows(&after) && revision > self.revision;
-        joins.then(|| self.apply(now, revision, changes))
+        let is_contiguous = self.revision.follows(&after) && revision > self.revision;
+        is_contiguous.then(|| self.apply(now, revision, changes))
     }
 
     fn apply(
@@ -144,8 +144,8 @@
         changes
     }
 
-    /// Ends evacuations that a copy of the directory lacked and nobody has ordered again;
-    /// returns them.
+    /// Ends evacuations that a restored copy of the directory lacked and that were not ordered
+    /// again in time; returns them.
     pub fn expire(&mut self, now: Now) -> Vec<EvacuationChange> {
         let over = self.unconfirmed.iter().filter(|(_, ends)| now >= **ends);
         let over: Vec<ZoneId> = over.map(|(zone, _)| zone.clone()).collect();
@@ -154,23 +154,23 @@
         self.apply(now, revision, ended)
     }
 
-    /// Whether nothing new may be given to the backend servers of a zone.
+    /// Returns whether the backend servers of a zone may receive no new work.
     pub fn is_evacuated(&self, zone: &str) -> bool {
         self.known_since.contains_key(zone)
     }
 
-    /// Whether nothing may be sent there any more, not even what was given there before.
+    /// Returns whether nothing may be sent to a zone, including work that was placed there before.
     pub fn is_closed(&self, now: Now, zone: &str) -> bool {
         let since = self.known_since.get(zone);
-        since.is_some_and(|since| now.saturating_sub(*since) >= UNDER_WAY)
+        since.is_some_and(|since| now.saturating_sub(*since) >= IN_FLIGHT_GRACE)
     }
 
-    /// The directory's revision of what is known.
+    /// Returns the revision of the known state.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// How many zones are evacuated.
+    /// Returns the number of evacuated zones.
     pub fn count(&self) -> usize {
         self.known_since.len()
     }
@@ -180,11 +180,11 @@
         zones.filter(|zone| !self.unconfirmed.contains_key(*zone))
     }
 
-    /// What is known, for the other instances.
+    /// Returns the state to advertise to the other instances.
     pub fn told(&self) -> AdvertisedEvacuations {
         AdvertisedEvacuations {
             revision: self.revision,
-            // Whoever hears it holds for itself what a copy lacks.
+            // Each receiver keeps the evacuations that a restored copy lacks by itself.
             zones: self.confirmed().cloned().collect(),
         }
     }
