--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,4 +1,5 @@
-//! What operators declare: its documents, their check and order, and the route of a request.
+//! The configuration that operators publish: its documents, their validation and version order,
+//! and the routing of requests.
 
 pub(crate) mod config_lag;
 pub(crate) mod config_order;
--- a/crates/core/src/configuration/config_lag.rs
+++ b/crates/core/src/configuration/config_lag.rs
@@ -1,27 +1,27 @@
-//! How long peers have had a newer configuration than an instance.
+//! Tracks how long peers have had a newer configuration than this instance.
 
 use std::time::Duration;
 
 use crate::Now;
 use crate::ReadTiming;
 
-/// Since when an instance is behind its peers, while it is.
+/// Tracks since when an instance is behind its peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConfigLag {
     since: Option<Now>,
 }
 
-/// What is new about it.
+/// A change of the lag.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LagUpdate {
     /// A peer has a newer configuration.
     Began,
-    /// No peer has one any more, after this time.
+    /// No peer has a newer configuration any more; holds the duration of the lag.
     Ended(Duration),
 }
 
 impl ConfigLag {
-    /// Notes whether a live peer has a newer configuration.
+    /// Records whether a live peer has a newer configuration; returns the change, if any.
     pub fn note(&mut self, now: Now, is_behind: bool) -> Option<LagUpdate> {
         match (self.since, is_behind) {
             (None, true) => {
@@ -36,9 +36,9 @@
         }
     }
 
-    /// Whether the peers have had time enough to hand it over.
-    pub fn is_overdue(&self, now: Now, waits: &ReadTiming) -> bool {
-        let time = self.since.map(|since| now.saturating_sub(since));
-        time.is_some_and(|time| time >= waits.max_config_lag())
+    /// Returns whether the instance has been behind for longer than a fetch from a peer may take.
+    pub fn is_overdue(&self, now: Now, timing: &ReadTiming) -> bool {
+        let lag = self.since.map(|since| now.saturating_sub(since));
+        lag.is_some_and(|lag| lag >= timing.max_config_lag())
     }
 }
--- a/crates/core/src/configuration/config_order.rs
+++ b/crates/core/src/configuration/config_order.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, which only moves forward.
+//! The configuration in force, whose version never decreases.
 
 use std::sync::Arc;
 
@@ -10,24 +10,24 @@
 /// A version of the configuration, offered by the platform or a peer.
 #[derive(Clone, Debug)]
 pub struct Offer {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// Its content.
+    /// Content of the configuration.
     pub document: Arc<Document>,
 }
 
-/// What became of an offer.
+/// Result of an offer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OfferVerdict {
-    /// It is in force now.
+    /// The offered version is in force now.
     InForce,
-    /// Not newer than what is in force, or than what was refused.
+    /// The offered version is not newer than the one in force or the newest refused one.
     Stale,
-    /// It failed its check; what was in force stays so.
+    /// The offered version failed validation; the configuration in force is unchanged.
     Refused(Vec<DocumentFault>),
 }
 
-/// Applies offers in the platform's order of versions.
+/// Applies offers in the platform's version order.
 #[derive(Debug, Default)]
 pub struct ConfigOrder {
     in_force: Option<Offer>,
@@ -36,7 +36,7 @@
 }
 
 impl ConfigOrder {
-    /// Decides about an offer.
+    /// Validates an offer and puts it in force if it is newer.
     pub fn offer(&mut self, offer: Offer) -> OfferVerdict {
         if offer.version <= self.highest_seen() {
             return OfferVerdict::Stale;
@@ -50,39 +50,39 @@
         OfferVerdict::InForce
     }
 
-    /// Notes a version that can't be read as a document at all.
+    /// Records a version that can't be parsed as a document; returns whether it is newer.
     pub fn refuse(&mut self, version: ConfigVersion, faults: Vec<DocumentFault>) -> bool {
-        let newer = version > self.highest_seen();
-        if newer {
+        let is_newer = version > self.highest_seen();
+        if is_newer {
             self.refused = Some((version, faults));
         }
-        newer
+        is_newer
     }
 
-    /// Notes that a reader saw the platform at `version`; the age of the
-    /// configuration counts from here. A stale replica confirms nothing.
+    /// Records that a reader saw the platform at `version`; the age of the configuration counts
+    /// from `at`. A stale replica of the platform confirms nothing.
     pub fn confirm(&mut self, at: Now, version: ConfigVersion) {
         if version >= self.version() {
             self.confirmed_at = self.confirmed_at.max(Some(at));
         }
     }
 
-    /// The version in force, 0 for none.
+    /// Returns the version in force, 0 for none.
     pub fn version(&self) -> ConfigVersion {
         self.in_force.as_ref().map_or(0, |offer| offer.version)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn in_force(&self) -> Option<&Offer> {
         self.in_force.as_ref()
     }
 
-    /// The newest refused version with its faults.
+    /// Returns the newest refused version with its faults.
     pub fn refused(&self) -> Option<&(ConfigVersion, Vec<DocumentFault>)> {
         self.refused.as_ref()
     }
 
-    /// When the platform last confirmed the version in force.
+    /// Returns the time at which the platform last confirmed the version in force.
     pub fn confirmed_at(&self) -> Option<Now> {
         self.confirmed_at
     }
--- a/crates/core/src/configuration/document.rs
+++ b/crates/core/src/configuration/document.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Models that callers may ask for.
+    /// Models that callers may request.
     #[serde(default)]
     pub models: Vec<Model>,
     /// Adapters on top of models.
@@ -22,10 +22,10 @@
     /// Workspaces with their weights and limits.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
-    /// Plain services.
+    /// Services other than models.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// Engines and plain service runners.
+    /// Engines and service runners.
     #[serde(default)]
     pub backend_servers: Vec<BackendServer>,
     /// Operators that may read resources.
@@ -33,54 +33,54 @@
     pub operators: Vec<Operator>,
 }
 
-/// A model.
+/// A model that engines serve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Name that callers use.
+    /// Name that callers use in requests.
     pub name: String,
     /// Version that engines should serve.
     pub version: String,
-    /// Longest prompt and answer together, in tokens.
+    /// Maximum length of prompt and answer together, in tokens.
     pub context_tokens: u32,
 }
 
-/// An adapter.
+/// An adapter on top of a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// Name that callers use.
+    /// Name that callers use in requests.
     pub name: String,
-    /// The model that it belongs to.
+    /// Name of the model that it belongs to.
     pub model: String,
 }
 
-/// A workspace.
+/// A workspace: a group of callers with common keys, limits and priority.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
     /// Share of the engines under contention, relative to the others.
     pub weight: u32,
-    /// Priority of its requests when a request names none; higher goes first.
+    /// Default priority of its requests; a higher priority goes first.
     #[serde(default)]
     pub priority: u8,
-    /// Requests open at once per instance.
+    /// Maximum number of concurrently open requests per instance.
     pub max_open_requests: u32,
-    /// Requests a second per instance.
+    /// Maximum number of requests per second per instance.
     pub max_requests_per_s: u32,
     /// BLAKE3 hashes (hex) of the bearer keys of its callers.
     pub key_hashes: Vec<String>,
 }
 
-/// A plain service.
+/// A service other than a model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Name in the path of a call.
+    /// Name that is used in the path of a call.
     pub name: String,
-    /// Whether a call may be repeated; not, if nothing is said.
+    /// Whether a call may be repeated; false by default.
     #[serde(default)]
     pub repeatable: bool,
     /// Whether its runners check the idempotency key.
@@ -88,84 +88,84 @@
     pub checks_keys: bool,
 }
 
-/// What kind of work a backend server does.
+/// Kind of work of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendKind {
     /// Generates tokens.
     Engine,
-    /// Runs calls of a plain service.
+    /// Runs calls of a service.
     Service,
 }
 
-/// Which part of a generation an engine does.
+/// The phases of a generation that an engine runs.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
-    /// Reads prompts only.
+    /// Only processes prompts.
     Prefill,
-    /// Generates only.
+    /// Only generates tokens.
     Decode,
-    /// Does both.
+    /// Processes prompts and generates tokens.
     #[default]
     Both,
 }
 
-/// A backend server.
+/// A backend server: an engine or a service runner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
-    /// Its name.
+    /// Id of the backend server.
     pub name: BackendId,
-    /// Engine or service runner.
+    /// Whether it is an engine or a service runner.
     pub kind: BackendKind,
-    /// Where it stands.
+    /// Availability zone of the backend server.
     pub availability_zone: ZoneId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Models that an engine serves.
     #[serde(default)]
     pub models: Vec<String>,
-    /// Role of an engine.
+    /// Phases of a generation that an engine runs.
     #[serde(default)]
     pub role: EngineRole,
-    /// Service that a service runner runs.
+    /// Name of the service, for a service runner.
     #[serde(default)]
     pub service: Option<String>,
-    /// Whether it is leaving: no new work goes there.
+    /// Whether it is draining: it receives no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// An operator.
+/// An operator with read access to the resources.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// Name for the log.
+    /// Name that appears in logs.
     pub name: String,
     /// BLAKE3 hash (hex) of its bearer key.
     pub key_hash: String,
 }
 
 impl Document {
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The model of this name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name == name)
     }
 
-    /// The workspace of this name.
+    /// Returns the workspace with this name.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces
             .iter()
             .find(|workspace| workspace.name == name)
     }
 
-    /// Runners of a service that are not leaving.
+    /// Returns the runners of a service that are not draining.
     pub fn service_runners(&self, service: &str) -> Vec<&BackendServer> {
         let runs = |server: &&BackendServer| {
             server.kind == BackendKind::Service
--- a/crates/core/src/configuration/document_check.rs
+++ b/crates/core/src/configuration/document_check.rs
@@ -1,4 +1,4 @@
-//! The check that a configuration must pass before it comes into force.
+//! The validation that a configuration must pass before it comes into force.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -9,10 +9,10 @@
 use crate::BackendKind;
 use crate::Document;
 
-/// One fault of a document, with the way to mend it.
+/// One fault of a document, with a fix.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct DocumentFault {
-    /// Where: a path such as `workspaces[quotes].weight`.
+    /// Path of the faulty value, such as `workspaces[quotes].weight`.
     pub key: String,
     /// The value found.
     pub value: String,
@@ -27,8 +27,8 @@
 }
 
 impl Document {
-    /// Lists every fault; an empty list means that the document may be
-    /// published.
+    /// Validates the document and returns all faults. An empty list means that the document may
+    /// be published.
     pub fn faults(&self) -> Vec<DocumentFault> {
         let mut faults = Faults::default();
         self.check_names(&mut faults);
@@ -109,8 +109,8 @@
     }
 }
 
-/// Characters that names may not hold: `~` separates the fields of cursors and
-/// tickets, the others would break paths.
+/// Characters that are not allowed in names: `~` separates the fields of cursors and tickets,
+/// the others would break paths.
 const RESERVED_IN_NAMES: [char; 3] = ['~', '/', ' '];
 
 #[derive(Default)]
--- a/crates/core/src/configuration/gateway_config.rs
+++ b/crates/core/src/configuration/gateway_config.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration of the gateway: routes, services, limits and
-//! the workspaces whose callers may use them.
+//! The operators' configuration of the gateway: routes, services, limits, and the workspaces
+//! whose callers may use them.
 
 use std::collections::BTreeSet;
 use std::collections::HashSet;
@@ -12,7 +12,7 @@
 use crate::RegionId;
 use crate::WorkspaceId;
 
-/// What may be done with a request after a failure.
+/// How a request may be handled after a failure.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestClass {
@@ -24,100 +24,98 @@
     Once,
 }
 
-/// One service that a route leads to, with its share of the requests.
+/// One target service of a route, with its share of the requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share relative to the other targets.
+    /// Share of the requests, relative to the other targets.
     pub weight: u32,
 }
 
-/// Where requests of a host and path go, and how they are treated.
+/// The services for the requests of a host and path, and the handling of these requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name for logs.
+    /// Name that appears in logs.
     pub name: String,
-    /// Host that callers ask for, in lower case and without a port.
+    /// Requested host, in lower case and without a port.
     pub host: String,
-    /// Beginning of the paths; starts and ends with a slash.
+    /// Prefix of the requested paths; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be done after a failure.
+    /// How its requests may be handled after a failure.
     pub class: RequestClass,
-    /// Longest time from the request to its final answer.
+    /// Maximum time from the request to its final answer.
     pub timeout: Duration,
-    /// Time in which the answer (or the first event) should be there.
+    /// Target latency of the answer, or of the first event of a stream.
     pub objective: Duration,
-    /// Urgency, 0 is the most urgent.
+    /// Priority of its requests; 0 is the highest.
     pub rank: u8,
-    /// Services that run it.
+    /// Services that run its requests.
     pub targets: Vec<RouteTarget>,
-    /// Most backend servers that one request may be sent to.
+    /// Maximum number of backend servers to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether a stream may be run again from an event on; false for all other
-    /// classes.
+    /// Whether a stream may be restarted from a given event; false for all other classes.
     #[serde(default)]
     pub can_resume: bool,
     /// Whether callers without a key are served.
     pub allow_anonymous: bool,
-    /// Regions whose backend servers alone may get its requests; `None` for all.
+    /// Regions whose backend servers may receive its requests; `None` for all regions.
     #[serde(default)]
     pub homes: Option<BTreeSet<RegionId>>,
 }
 
-/// What the engines of a service can do.
+/// Capacity and capabilities of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineTraits {
-    /// Sessions that one engine batches.
+    /// Number of sessions that one engine batches.
     pub slots: u32,
-    /// Tokens that fit into the memory of one engine.
+    /// Number of tokens that fit into the memory of one engine.
     pub memory_tokens: u64,
-    /// Tokens of one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
     /// Whether a running session can be moved to another engine.
     pub can_move: bool,
-    /// Whether an engine can keep a copy of a session that runs elsewhere.
+    /// Whether an engine can hold a backup of a session that runs on another engine.
     pub can_back_up: bool,
 }
 
-/// A service.
+/// A service behind the gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayService {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one backend server takes from all callers together.
+    /// Maximum number of connections to one backend server, for all callers together.
     pub max_connections: u32,
-    /// Requests a second that a backend server bears while it is cold; 0 where no such
-    /// bound is known.
+    /// Requests per second that a cold backend server can handle; 0 if no such bound is known.
     #[serde(default)]
     pub cold_per_s: f64,
-    /// Present when its backend servers are engines.
+    /// Traits of the engines; `None` if its backend servers are not engines.
     pub engine: Option<EngineTraits>,
 }
 
-/// Limits of what callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Most bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time to send the headers.
+    /// Maximum time to send the headers.
     pub header_timeout: Duration,
-    /// Longest rest of a connection between two requests.
+    /// Maximum idle time of a connection between two requests.
     pub idle_timeout: Duration,
 }
 
 /// A workspace with the keys of its callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayWorkspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: WorkspaceId,
     /// BLAKE3 hashes (hex) of its callers' keys.
     pub key_hashes: Vec<String>,
-    /// Urgency of its requests, 0 is the most urgent; goes before the route's.
+    /// Priority of its requests, 0 is the highest; it is compared before that of the route.
     pub rank: u8,
-    /// Regions whose backend servers alone may get its requests; `None` for all.
+    /// Regions whose backend servers may receive its requests; `None` for all regions.
     #[serde(default)]
     pub homes: Option<BTreeSet<RegionId>>,
 }
@@ -125,35 +123,35 @@
 /// One version of the whole configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GatewayConfig {
-    /// Its version; only grows.
+    /// Version of the configuration; it only increases.
     pub version: ConfigVersion,
-    /// The routes.
+    /// Routes of requests by host and path.
     pub routes: Vec<Route>,
-    /// The services.
+    /// Services that routes may refer to.
     pub services: Vec<GatewayService>,
-    /// Limits of what callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
-    /// The workspaces; `None` where callers need no key.
+    /// Workspaces with the keys of their callers; `None` if callers need no key.
     pub workspaces: Option<Vec<GatewayWorkspace>>,
 }
 
 impl GatewayConfig {
-    /// The service of this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&GatewayService> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// What keeps this configuration from being used, as sentences.
+    /// Returns the faults that prevent the use of this configuration, as messages.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         if self.version == 0 {
             faults.push("the version is 0; versions count from 1".to_owned());
         }
         let services: HashSet<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
-        let mut places = HashSet::new();
+        let mut host_paths = HashSet::new();
         for route in &self.routes {
             check_route(route, &services, &mut faults);
-            if !places.insert((&route.host, &route.path_prefix)) {
+            if !host_paths.insert((&route.host, &route.path_prefix)) {
                 faults.push(format!("route {} repeats a host and path", route.name));
             }
         }
--- a/crates/core/src/configuration/key_index.rs
+++ b/crates/core/src/configuration/key_index.rs
@@ -1,30 +1,30 @@
-//! Finds the owner of a bearer key among the published hashes.
+//! Looks up the owner of a bearer key by the published hashes.
 
 use std::collections::HashMap;
 
 use crate::Document;
 use crate::WorkspaceId;
 
-/// Whose key it is.
+/// The owner of a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum KeyOwner {
-    /// Callers of a workspace.
+    /// The callers of a workspace.
     Workspace(WorkspaceId),
     /// An operator, by name.
     Operator(String),
 }
 
-/// Published hashes by their first bytes.
+/// The published key hashes, indexed by their first bytes.
 ///
-/// The lookup goes by the hash of what the caller sent, so its time says
-/// nothing about any key; the rest of the hash is compared in constant time.
+/// The lookup uses the hash of the presented key, so its duration reveals nothing about any key;
+/// the full hash is compared in constant time.
 #[derive(Debug, Default)]
 pub struct KeyIndex {
     by_prefix: HashMap<[u8; 8], Vec<(blake3::Hash, KeyOwner)>>,
 }
 
 impl KeyIndex {
-    /// Indexes the keys of a document.
+    /// Creates an index of the key hashes of a document.
     pub fn new(document: &Document) -> Self {
         let mut index = KeyIndex::default();
         for workspace in &document.workspaces {
@@ -39,7 +39,7 @@
         index
     }
 
-    /// Indexes hashes (hex) of the keys of workspaces.
+    /// Creates an index of the key hashes (hex) of workspaces.
     pub fn of_workspaces<'a>(hashes: impl Iterator<Item = (&'a String, WorkspaceId)>) -> Self {
         let mut index = KeyIndex::default();
         for (hash, workspace) in hashes {
@@ -48,12 +48,12 @@
         index
     }
 
-    /// The owner of a key.
+    /// Returns the owner of a key.
     pub fn owner(&self, key: &str) -> Option<&KeyOwner> {
-        let given = blake3::hash(key.as_bytes());
-        let same_prefix = self.by_prefix.get(&prefix(&given))?;
-        // `Hash == Hash` of this library takes constant time.
-        let found = same_prefix.iter().find(|(hash, _)| *hash == given);
+        let presented = blake3::hash(key.as_bytes());
+        let same_prefix = self.by_prefix.get(&prefix(&presented))?;
+        // blake3 compares hashes in constant time.
+        let found = same_prefix.iter().find(|(hash, _)| *hash == presented);
         found.map(|(_, owner)| owner)
     }
 
--- a/crates/core/src/configuration/route_table.rs
+++ b/crates/core/src/configuration/route_table.rs
@@ -1,4 +1,4 @@
-//! Finds the route, the workspace and the service of a request.
+//! Looks up the route, the workspace and the service of a request.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,16 +10,16 @@
 use crate::KeyOwner;
 use crate::Route;
 
-/// Why a request leads nowhere. Decided before anything is sent.
+/// Why a request has no route. This is decided before anything is sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteFault {
     /// No route has this host and path.
     NoRoute,
-    /// The route needs a key and the request has none, or an unknown one.
+    /// The route requires a key, and the request has none or an unknown one.
     UnknownKey,
 }
 
-/// A configuration in force, indexed for lookups.
+/// A configuration in force, indexed for lookups by host and key.
 #[derive(Debug)]
 pub struct RouteTable {
     config: Arc<GatewayConfig>,
@@ -28,15 +28,15 @@
 }
 
 impl RouteTable {
-    /// Indexes a configuration.
+    /// Creates the table of a configuration.
     pub fn new(config: Arc<GatewayConfig>) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (place, route) in config.routes.iter().enumerate() {
-            by_host.entry(route.host.clone()).or_default().push(place);
+        for (index, route) in config.routes.iter().enumerate() {
+            by_host.entry(route.host.clone()).or_default().push(index);
         }
-        for places in by_host.values_mut() {
-            let length = |place: &usize| config.routes[*place].path_prefix.len();
-            places.sort_by_key(|place| std::cmp::Reverse(length(place)));
+        for indices in by_host.values_mut() {
+            let length = |index: &usize| config.routes[*index].path_prefix.len();
+            indices.sort_by_key(|index| std::cmp::Reverse(length(index)));
         }
         let workspaces = config.workspaces.iter().flatten();
         let hashes = workspaces.flat_map(|w| w.key_hashes.iter().map(|h| (h, w.name.clone())));
@@ -48,44 +48,44 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Arc<GatewayConfig> {
         &self.config
     }
 
-    /// Whether running sessions of a service can be moved.
+    /// Returns whether running sessions of a service can be moved to another engine.
     pub fn can_move(&self, service: &str) -> bool {
         let service = self.config.service(service);
         let engine = service.and_then(|service| service.engine.as_ref());
         engine.is_some_and(|engine| engine.can_move)
     }
 
-    /// Its version.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.config.version
     }
 
-    /// The route with the longest prefix of the path.
+    /// Returns the route of the host with the longest prefix of the path.
     ///
     /// # Errors
     ///
-    /// [`RouteFault::NoRoute`].
+    /// [`RouteFault::NoRoute`] if no route of the host has a prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Result<&Route, RouteFault> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let places = self.by_host.get(&host.to_ascii_lowercase());
-        let mut routes = places
+        let indices = self.by_host.get(&host.to_ascii_lowercase());
+        let mut routes = indices
             .into_iter()
             .flatten()
-            .map(|place| &self.config.routes[*place]);
+            .map(|index| &self.config.routes[*index]);
         let found = routes.find(|route| path.starts_with(&route.path_prefix));
         found.ok_or(RouteFault::NoRoute)
     }
 
-    /// The workspace of a caller, `None` for an anonymous one.
+    /// Returns the workspace of a caller, `None` for an anonymous caller.
     ///
     /// # Errors
     ///
-    /// [`RouteFault::UnknownKey`].
+    /// [`RouteFault::UnknownKey`] if the route requires a key and the key is missing or unknown.
     pub fn workspace(
         &self,
         route: &Route,
@@ -104,8 +104,8 @@
         Err(RouteFault::UnknownKey)
     }
 
-    /// The service that runs a request: the same for the same request id, and
-    /// split by weight over many.
+    /// Returns the service that runs a request: always the same for one request id, and
+    /// distributed by weight over many ids. `None` if all weights are 0.
     pub fn service<'a>(&self, route: &'a Route, request: &str) -> Option<&'a str> {
         let sum: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
         let digest = blake3::hash(request.as_bytes());
--- a/crates/core/src/directory/replica_list.rs
+++ b/crates/core/src/directory/replica_list.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers, joined from snapshots and changes.
+//! The list of backend servers, built from snapshots and changes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,8 +21,8 @@
 
 pub use advertising::AdvertisedList;
 
-/// How long after an outage of the platform a missing entry still counts as
-/// present: a live server writes its entry again within two heartbeats.
+/// Time after an outage of the platform during which a missing entry still counts as present:
+/// a live server rewrites its entry within two heartbeats.
 const EXPIRY_GRACE: Duration = Duration::from_secs(2);
 
 /// One change of the list.
@@ -32,83 +32,83 @@
     Listed(Replica),
     /// An entry was removed.
     Removed(BackendId),
-    /// An entry was written that can't be used, by whoever.
+    /// An entry was written that can't be used, by any writer.
     Unusable(BackendId),
 }
 
-/// Unusable entries that are remembered to be told. Whoever writes more of them writes
-/// keys of no server.
-const UNUSABLE_KEPT: usize = 1_024;
+/// Number of unusable entries that are kept in order to advertise them. A larger number means
+/// that a writer uses keys that belong to no server.
+const MAX_UNUSABLE_ENTRIES: usize = 1_024;
 
-/// What the list says of a replica.
+/// State of a replica according to the list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ListedState {
-    /// It takes work.
+    /// Accepts new work.
     Serving,
-    /// It finishes what it has.
+    /// Draining: finishes its current work.
     Leaving,
-    /// Its entry was lost while the platform was away; it counts as serving
-    /// for a short time.
+    /// The entry was lost during an outage of the platform; it counts as serving for
+    /// [`EXPIRY_GRACE`].
     Expired,
-    /// Its entry was removed; it finishes what it has.
+    /// The entry was removed; the replica finishes its current work.
     Removed,
 }
 
 impl ListedState {
-    /// Whether the replica finishes what it has and takes nothing new.
+    /// Returns whether the replica only finishes its current work and accepts no new work.
     pub fn is_leaving(self) -> bool {
         matches!(self, ListedState::Leaving | ListedState::Removed)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Line {
+struct ListEntry {
     replica: Replica,
-    /// Identifies the life that is listed.
+    /// The incarnation that is listed.
     life: LifeId,
-    /// Revision by which it was as it is.
+    /// Revision by which the entry had its current content.
     revision: Revision,
-    /// When a lapsed entry stops counting.
+    /// Time at which an expired entry no longer counts as present.
     expires_at: Option<Now>,
-    /// Until when it is cold, as it said itself.
+    /// End of the warm-up that the server itself reported.
     cold_until: Now,
-    /// Until when only an old copy of the directory says that it is there.
+    /// Time until which only an old copy of the directory confirms the entry.
     unconfirmed_until: Now,
-    /// An earlier life that a copy of the directory lists under the id: it stands again if
-    /// this one doesn't write itself in time.
+    /// An earlier incarnation that a copy of the directory lists under the id. It is restored if
+    /// the current incarnation doesn't rewrite its entry in time.
     earlier: Option<Replica>,
 }
 
-/// Replicas by id, at a revision of the platform's list.
+/// The replicas by id, at a revision of the platform's list.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaList {
     revision: Revision,
-    lines: BTreeMap<BackendId, Line>,
+    entries: BTreeMap<BackendId, ListEntry>,
     outage_ended: Option<Now>,
-    /// Entries removed lately, with the revision by which they were.
+    /// Recently removed entries, each with the revision by which it was removed.
     removed: VecDeque<(Revision, BackendId)>,
-    /// Revision from which on all removals are in `removed`.
+    /// First revision from which `removed` contains all removals.
     complete_from: Revision,
-    /// Spans of revisions that a whole list has skipped: an entry may have gone and come as
-    /// it was within them, which shows in no line.
+    /// Spans of revisions that were skipped by taking a full list. An entry may have been removed
+    /// and rewritten unchanged within a span, which no entry shows.
     skipped: VecDeque<(Revision, Revision)>,
-    /// Lives that said themselves that they leave.
+    /// Incarnations that reported that they are draining.
     said_leaving: LeavingMarks,
-    /// Lives that were listed and are no more.
+    /// Incarnations that were listed and are no longer.
     gone: LeavingMarks,
-    /// Ids whose entry is there and can't be used.
+    /// Ids whose entry is present and can't be used.
     unusable: BTreeSet<BackendId>,
-    /// Replicas that are new here or have begun another life.
-    begun: Vec<BackendId>,
+    /// Replicas that are new to this list or have begun a new incarnation.
+    started: Vec<BackendId>,
 }
 
 impl ReplicaList {
-    /// Takes a whole list. Entries that are missing count as removed, or as
-    /// lapsed when the platform was away before.
+    /// Applies a full list; returns false if it is older than the known one. Missing entries
+    /// count as removed, or as expired if the platform was unavailable before.
     ///
-    /// A list of a later era lacks what was written since the copy that the directory came
-    /// back from, until it is written again: its missing entries have lapsed, too. What was
-    /// removed since then is not known to whoever has a list of the era before.
+    /// A list of a later era lacks what was written after the copy from which the directory was
+    /// restored, until it is rewritten: its missing entries count as expired, too. An instance
+    /// with a list of the earlier era doesn't know what was removed since.
     pub fn snapshot(
         &mut self,
         now: Now,
@@ -126,15 +126,15 @@
             self.complete_from = revision;
             self.removed.clear();
         }
-        self.note_skipped(revision);
+        self.record_skipped(revision);
         let is_copy = revision.era > self.revision.era && !self.revision.is_none();
         self.revision = revision;
-        let (replicas, doubtful) = match is_copy {
+        let (replicas, unconfirmed) = match is_copy {
             true => self.split_gone(replicas),
             false => (replicas, Vec::new()),
         };
         let missing: Vec<BackendId> = self
-            .lines
+            .entries
             .keys()
             .filter(|id| !replicas.iter().any(|replica| replica.id == **id))
             .cloned()
@@ -145,49 +145,50 @@
         for replica in replicas {
             self.insert(now, replica);
         }
-        for replica in doubtful {
+        for replica in unconfirmed {
             self.insert_unconfirmed(now, replica);
         }
         true
     }
 
-    /// Takes the list of another instance.
-    pub fn hear(&mut self, now: Now, told: AdvertisedList) -> bool {
-        if let Some(ago_ms) = told.outage_ended_ms {
+    /// Applies the list that another instance advertised; returns whether it was newer.
+    pub fn hear(&mut self, now: Now, list: AdvertisedList) -> bool {
+        if let Some(ago_ms) = list.outage_ended_ms {
             self.outage_ended(now.saturating_sub(Duration::from_millis(ago_ms)));
         }
-        if told.above.is_none() {
-            let is_taken = self.snapshot(now, told.revision, told.replicas);
-            if is_taken {
-                self.mark_unusable(now, told.unusable);
+        if list.above.is_none() {
+            let is_applied = self.snapshot(now, list.revision, list.replicas);
+            if is_applied {
+                self.mark_unusable(now, list.unusable);
             }
-            return is_taken;
+            return is_applied;
         }
-        if !self.revision.follows(&told.above) {
+        if !self.revision.follows(&list.above) {
             return false;
         }
-        let removed = told.removed.into_iter().map(ReplicaChange::Removed);
-        let listed = told.replicas.into_iter().map(ReplicaChange::Listed);
-        let unusable = told.unusable.into_iter().map(ReplicaChange::Unusable);
+        let removed = list.removed.into_iter().map(ReplicaChange::Removed);
+        let listed = list.replicas.into_iter().map(ReplicaChange::Listed);
+        let unusable = list.unusable.into_iter().map(ReplicaChange::Unusable);
         let changes = removed.chain(listed).chain(unusable);
-        self.change(now, told.revision, changes.collect())
+        self.change(now, list.revision, changes.collect())
     }
 
-    /// Notes entries that are there and can't be used: whatever they said before counts
-    /// no longer.
+    /// Records entries that are present and can't be used: their earlier content no longer
+    /// counts.
     pub fn mark_unusable(&mut self, now: Now, ids: impl IntoIterator<Item = BackendId>) {
         for id in ids {
-            if self.lines.contains_key(&id) {
-                self.note_removal(&id);
-                self.drop_line(now, &id);
+            if self.entries.contains_key(&id) {
+                self.record_removal(&id);
+                self.drop_entry(now, &id);
             }
-            if self.unusable.len() < UNUSABLE_KEPT {
+            if self.unusable.len() < MAX_UNUSABLE_ENTRIES {
                 self.unusable.insert(id);
             }
         }
     }
 
-    /// Takes changes up to a revision; older ones are ignored.
+    /// Applies changes up to a revision; returns false for changes that are older or of another
+    /// era.
     pub fn change(
         &mut self,
         now: Now,
@@ -195,8 +196,8 @@
         changes: Vec<ReplicaChange>,
     ) -> bool {
         let revision = revision.into();
-        let is_of_this_era = revision.era == self.revision.era || self.revision.is_none();
-        if revision <= self.revision || !is_of_this_era {
+        let is_same_era = revision.era == self.revision.era || self.revision.is_none();
+        if revision <= self.revision || !is_same_era {
             return false;
         }
         self.revision = revision;
@@ -210,59 +211,60 @@
         true
     }
 
-    /// Notes when the platform answered again after an outage.
+    /// Records when the platform answered again after an outage.
     pub fn outage_ended(&mut self, at: Now) {
         self.outage_ended = self.outage_ended.max(Some(at));
     }
 
-    /// Replicas that are new here or have begun another life since this was asked last.
+    /// Returns the replicas that are new to this list or have begun a new incarnation since the
+    /// last call.
     pub fn take_started(&mut self) -> Vec<BackendId> {
-        std::mem::take(&mut self.begun)
+        std::mem::take(&mut self.started)
     }
 
-    /// Whether entries may be missing, or stand for servers that are gone, because of
-    /// an outage that has just ended.
+    /// Returns whether entries may be missing, or belong to servers that no longer exist, because
+    /// an outage has just ended.
     pub fn is_settling(&self, now: Now) -> bool {
         let ago = self.outage_ended.map(|at| now.saturating_sub(at));
         ago.is_some_and(|ago| ago < EXPIRY_GRACE)
     }
 
-    /// Notes that a replica itself says that it leaves, in a life that is listed or not.
-    /// Returns whether that changes what is known of a listed one.
+    /// Records that a replica itself reported that it is draining, in an incarnation that is
+    /// listed or not. Returns whether that changes the state of a listed one.
     pub fn mark_draining(&mut self, now: Now, server: &ServerLife) -> bool {
-        let line = self.lines.get(&server.id);
-        let is_listed = line.is_some_and(|line| line.life == server.life);
-        let takes_work = matches!(
+        let entry = self.entries.get(&server.id);
+        let is_listed = entry.is_some_and(|entry| entry.life == server.life);
+        let accepts_work = matches!(
             self.state(&server.id),
             ListedState::Serving | ListedState::Expired
         );
-        let is_news = self.said_leaving.mark(now, server.life, is_listed);
-        is_news && is_listed && takes_work
+        let is_new = self.said_leaving.mark(now, server.life, is_listed);
+        is_new && is_listed && accepts_work
     }
 
-    /// Lives that said that they leave.
+    /// Returns the incarnations that reported that they are draining.
     pub fn draining_incarnations(&self, now: Now) -> BTreeSet<LifeId> {
         self.said_leaving.lives(now)
     }
 
-    /// Rises when a life says that it leaves.
+    /// Returns a counter that increases when an incarnation reports that it is draining.
     pub fn draining_version(&self) -> u64 {
         self.said_leaving.version()
     }
 
-    /// Listed lives.
+    /// Returns the listed incarnations.
     pub fn lives(&self) -> BTreeSet<LifeId> {
-        self.lines.values().map(|line| line.life).collect()
+        self.entries.values().map(|entry| entry.life).collect()
     }
 
-    /// Drops entries whose grace is over; returns them.
+    /// Removes expired entries whose grace period is over; returns their ids.
     pub fn expire(&mut self, now: Now) -> Vec<BackendId> {
-        let is_over = |line: &Line| line.expires_at.is_some_and(|at| now >= at);
-        let over = self.lines.iter().filter(|(_, line)| is_over(line));
+        let is_expired = |entry: &ListEntry| entry.expires_at.is_some_and(|at| now >= at);
+        let over = self.entries.iter().filter(|(_, entry)| is_expired(entry));
         let ids: Vec<BackendId> = over.map(|(id, _)| id.clone()).collect();
         for id in &ids {
-            let earlier = self.lines.get_mut(id).and_then(|line| line.earlier.take());
-            self.drop_line(now, id);
+            let earlier = self.entries.get_mut(id).and_then(|e| e.earlier.take());
+            self.drop_entry(now, id);
             if let Some(earlier) = earlier {
                 self.insert_unconfirmed(now, earlier);
             }
@@ -272,65 +274,65 @@
         ids
     }
 
-    /// What is known of a replica that was listed at some time.
+    /// Returns the state of a replica; one that is not listed counts as removed.
     pub fn state(&self, id: &str) -> ListedState {
-        match self.lines.get(id) {
+        match self.entries.get(id) {
             None => ListedState::Removed,
-            Some(line) if self.leaves(line) => ListedState::Leaving,
-            Some(line) if line.expires_at.is_some() => ListedState::Expired,
+            Some(entry) if self.is_draining(entry) => ListedState::Leaving,
+            Some(entry) if entry.expires_at.is_some() => ListedState::Expired,
             Some(_) => ListedState::Serving,
         }
     }
 
-    /// The revision reached.
+    /// Returns the revision of the list.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The replicas that take new work now.
+    /// Returns the replicas that accept new work now.
     pub fn serving(&self, now: Now) -> impl Iterator<Item = &Replica> {
-        let counts = move |line: &&Line| {
-            let is_over = line.expires_at.is_some_and(|at| now >= at);
-            let is_proven = now >= line.unconfirmed_until;
-            !self.leaves(line) && !is_over && is_proven
+        let counts = move |entry: &&ListEntry| {
+            let is_expired = entry.expires_at.is_some_and(|at| now >= at);
+            let is_confirmed = now >= entry.unconfirmed_until;
+            !self.is_draining(entry) && !is_expired && is_confirmed
         };
-        self.lines.values().filter(counts).map(|line| &line.replica)
+        self.entries.values().filter(counts).map(|e| &e.replica)
     }
 
-    /// How many are listed in an availability zone.
+    /// Returns the number of replicas listed in an availability zone.
     pub fn in_zone(&self, zone: &str) -> usize {
-        let lines = self.lines.values();
-        let there = lines.filter(|line| line.replica.availability_zone == zone);
-        there.count()
+        let entries = self.entries.values();
+        let in_zone = entries.filter(|entry| entry.replica.availability_zone == zone);
+        in_zone.count()
     }
 
-    /// One replica.
+    /// Returns a listed replica.
     pub fn replica(&self, id: &str) -> Option<&Replica> {
-        self.lines.get(id).map(|line| &line.replica)
+        self.entries.get(id).map(|entry| &entry.replica)
     }
 
-    /// How much longer a replica is cold.
+    /// Returns the remaining warm-up time of a replica.
     pub fn cold_for(&self, now: Now, id: &str) -> Duration {
-        let line = self.lines.get(id);
-        line.map_or(Duration::ZERO, |line| line.cold_until.saturating_sub(now))
+        let entry = self.entries.get(id);
+        entry.map_or(Duration::ZERO, |entry| entry.cold_until.saturating_sub(now))
     }
 
-    /// Takes an entry that was written in the meantime, also as it was: it may have gone and
-    /// come, and whoever asks what has changed must hear of it.
+    /// Applies an entry that was written since, even if it is unchanged: it may have been removed
+    /// and rewritten, so it must be part of a list delta.
     fn insert_written(&mut self, now: Now, replica: Replica) {
         let id = replica.id.clone();
         self.insert(now, replica);
-        if let Some(line) = self.lines.get_mut(&id) {
-            line.revision = self.revision;
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.revision = self.revision;
         }
     }
 
-    /// An entry that is read again as it was does not begin to be cold anew.
+    /// Applies an entry. One that is read again unchanged does not restart its warm-up.
     fn insert(&mut self, now: Now, replica: Replica) {
         let life = replica.life();
-        let listed = self.lines.get(&replica.id).map(|line| line.life);
+        let listed = self.entries.get(&replica.id).map(|entry| entry.life);
         if listed != Some(life) {
-            self.begun.push(replica.id.clone());
+            self.started.push(replica.id.clone());
         }
         if let Some(ended) = listed.filter(|listed| *listed != life) {
             self.said_leaving.unlisted(now, ended);
@@ -338,58 +340,59 @@
         }
         self.gone.forget(life);
         self.mark_listed(now, life, &replica);
-        let known = self.lines.get(&replica.id);
-        let known = known.filter(|line| line.replica == replica);
-        let as_before = known.filter(|line| line.expires_at.is_none());
-        let line = Line {
-            revision: as_before.map_or(self.revision, |line| line.revision),
-            cold_until: known.map_or(now + replica.warm_up, |line| line.cold_until),
+        let known = self.entries.get(&replica.id);
+        let known = known.filter(|entry| entry.replica == replica);
+        let as_before = known.filter(|entry| entry.expires_at.is_none());
+        let entry = ListEntry {
+            revision: as_before.map_or(self.revision, |entry| entry.revision),
+            cold_until: known.map_or(now + replica.warm_up, |entry| entry.cold_until),
             unconfirmed_until: Now::ZERO,
             earlier: None,
             life,
             replica,
             expires_at: None,
         };
-        self.unusable.remove(&line.replica.id);
-        self.lines.insert(line.replica.id.clone(), line);
+        self.unusable.remove(&entry.replica.id);
+        self.entries.insert(entry.replica.id.clone(), entry);
     }
 
-    /// Where lives aren't told apart, an entry that is listed anew is another life.
+    /// Updates the draining marks for a listed incarnation. If the platform doesn't publish start
+    /// times, an entry that is listed again counts as a new incarnation.
     fn mark_listed(&mut self, now: Now, life: LifeId, replica: &Replica) {
-        let tells_lives = replica.born_ms.is_some();
-        if !tells_lives && !self.lines.contains_key(&replica.id) {
+        let has_start_time = replica.born_ms.is_some();
+        if !has_start_time && !self.entries.contains_key(&replica.id) {
             self.said_leaving.forget(life);
         }
         self.said_leaving.listed(life);
-        if replica.leaving && tells_lives {
+        if replica.leaving && has_start_time {
             self.said_leaving.mark(now, life, true);
         }
     }
 
-    fn drop_line(&mut self, now: Now, id: &str) {
-        if let Some(line) = self.lines.remove(id) {
-            self.said_leaving.unlisted(now, line.life);
-            self.gone.mark(now, line.life, false);
+    fn drop_entry(&mut self, now: Now, id: &str) {
+        if let Some(entry) = self.entries.remove(id) {
+            self.said_leaving.unlisted(now, entry.life);
+            self.gone.mark(now, entry.life, false);
         }
     }
 
-    fn leaves(&self, line: &Line) -> bool {
-        line.replica.leaving || self.said_leaving.has(line.life)
+    fn is_draining(&self, entry: &ListEntry) -> bool {
+        entry.replica.leaving || self.said_leaving.has(entry.life)
     }
 
     fn remove(&mut self, now: Now, id: &str) {
         let grace_ends = self.outage_ended.map(|ended| ended + EXPIRY_GRACE);
         self.unusable.remove(id);
-        // Also of one that came and went unseen: others may have seen it come.
-        self.note_removal(id);
-        let is_leaving = self.lines.get(id).is_some_and(|line| self.leaves(line));
-        let lapses = grace_ends.filter(|ends| now < *ends && !is_leaving);
-        match (lapses, self.lines.get_mut(id)) {
-            (Some(ends), Some(line)) => {
-                line.expires_at = Some(ends);
-                line.earlier = None;
+        // Also for an entry that was added and removed unseen: other instances may have it.
+        self.record_removal(id);
+        let is_draining = self.entries.get(id).is_some_and(|e| self.is_draining(e));
+        let expires = grace_ends.filter(|ends| now < *ends && !is_draining);
+        match (expires, self.entries.get_mut(id)) {
+            (Some(ends), Some(entry)) => {
+                entry.expires_at = Some(ends);
+                entry.earlier = None;
             }
-            (_, Some(_)) => self.drop_line(now, id),
+            (_, Some(_)) => self.drop_entry(now, id),
             (_, None) => {}
         }
     }
--- a/crates/core/src/directory/replica_list/stale_lists.rs
+++ b/crates/core/src/directory/replica_list/stale_lists.rs
@@ -1,51 +1,51 @@
-//! What a directory that came back from an older copy lacks, and what it brings back.
+//! Stale lists: entries that a directory restored from an older copy lacks or brings back.
 
 use std::time::Duration;
 
-use super::Line;
+use super::ListEntry;
 use super::ReplicaList;
 use crate::Now;
 use crate::Replica;
 
-/// How long a server that was gone is not used although a copy of the directory brings its
-/// entry back: the entry of one that doesn't live lapses after three heartbeats of 1.2 s.
-const UNPROVEN_FOR: Duration = Duration::from_secs(4);
+/// Time for which a removed server is not used after a copy of the directory brings its entry
+/// back: the entry of a server that isn't running expires after three heartbeats of 1.2 s.
+const UNCONFIRMED_FOR: Duration = Duration::from_secs(4);
 
 impl ReplicaList {
-    /// Parts what a copy of the directory brings back into what may be believed and lives
-    /// that were seen to be gone since.
+    /// Splits the entries of a copy of the directory into trusted ones and incarnations that were
+    /// removed after the copy was made.
     pub(super) fn split_gone(&self, replicas: Vec<Replica>) -> (Vec<Replica>, Vec<Replica>) {
         let is_gone = |replica: &Replica| self.gone.has(replica.life());
-        let (doubtful, there) = replicas.into_iter().partition(is_gone);
-        (there, doubtful)
+        let (gone, trusted) = replicas.into_iter().partition(is_gone);
+        (trusted, gone)
     }
 
-    /// Takes an entry that only a copy of the directory brings back. Another life that has
-    /// followed under its id goes on, and writes itself again if it lives.
+    /// Adds an entry that only a copy of the directory confirms. A later incarnation under the
+    /// same id stays listed, and rewrites its entry if it is running.
     pub(super) fn insert_unconfirmed(&mut self, now: Now, replica: Replica) {
-        if let Some(line) = self.lines.get_mut(&replica.id) {
-            line.earlier = Some(replica);
+        if let Some(entry) = self.entries.get_mut(&replica.id) {
+            entry.earlier = Some(replica);
             return;
         }
         let id = replica.id.clone();
         self.insert(now, replica);
-        if let Some(line) = self.lines.get_mut(&id) {
-            line.unconfirmed_until = now + UNPROVEN_FOR;
+        if let Some(entry) = self.entries.get_mut(&id) {
+            entry.unconfirmed_until = now + UNCONFIRMED_FOR;
         }
     }
 
-    /// Replicas whose entry has lapsed.
+    /// Returns the replicas whose entry has expired.
     pub fn lapsed(&self) -> Vec<&str> {
-        self.ids_where(|line| line.expires_at.is_some())
+        self.ids_where(|entry| entry.expires_at.is_some())
     }
 
-    /// Replicas that only an old copy of the directory says are there.
+    /// Returns the replicas that only an old copy of the directory confirms.
     pub fn unconfirmed(&self, now: Now) -> Vec<&str> {
-        self.ids_where(|line| now < line.unconfirmed_until)
+        self.ids_where(|entry| now < entry.unconfirmed_until)
     }
 
-    fn ids_where(&self, holds: impl Fn(&Line) -> bool) -> Vec<&str> {
-        let lines = self.lines.iter().filter(|(_, line)| holds(line));
-        lines.map(|(id, _)| id.as_str()).collect()
+    fn ids_where(&self, matches: impl Fn(&ListEntry) -> bool) -> Vec<&str> {
+        let entries = self.entries.iter().filter(|(_, entry)| matches(entry));
+        entries.map(|(id, _)| id.as_str()).collect()
     }
 }
--- a/crates/core/src/directory/replica_view.rs
+++ b/crates/core/src/directory/replica_view.rs
@@ -1,4 +1,4 @@
-//! What one instance believes about one replica.
+//! One instance's view of the load of each replica, and the scores that rank replicas.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -17,82 +17,81 @@
 use crate::ZoneId;
 use crate::rendezvous_rank;
 
-/// Cost of a replica in another availability zone, in shares of its capacity:
-/// zones that are cut off from each other lose the streams between them.
+/// Cost of a replica in another availability zone, in shares of its capacity: a partition
+/// between two zones breaks the streams between them.
 const OTHER_ZONE_COST: f64 = 0.3;
 
-/// Added for each other zone that is nearer to a replica by rank, where instances
-/// hear of other zones' sessions late: each zone first turns to other engines than
-/// the rest, so that they don't all choose the same one at the same moment.
+/// Cost added for each zone that ranks before the own zone for a replica, in fleets with relays,
+/// where instances receive the load of other zones late. Each zone thus prefers different
+/// engines, so that they don't all choose the same one at the same time.
 const NEXT_ZONE_COST: f64 = 0.2;
 
 /// Cost of a replica whose last request failed.
 const PROBATION_COST: f64 = 0.5;
 
-/// Cost per second of warm-up that is left.
+/// Cost per remaining second of warm-up.
 const WARM_UP_COST_PER_S: f64 = 0.2;
 
-/// Cost of a full set of slots, on top of the memory: each session slows the
-/// others' tokens.
+/// Cost of a full set of slots, on top of the memory: each session slows down the tokens of the
+/// others.
 const SLOTS_COST: f64 = 0.5;
 
-/// Cost of prompts that wait to be read, per share of memory.
+/// Cost of prompts that are waiting for prefill, per share of memory.
 const UNREAD_COST: f64 = 1.0;
 
-/// Share of the random part where all hear of a session at once: it breaks ties
-/// between instances.
+/// Cost of the random part in fleets where all instances receive the update of a session at
+/// once: it breaks ties between instances.
 const NOISE_COST: f64 = 0.02;
 
-/// The same where they hear of it by way of a relay: about the cost of one session,
-/// so that those who choose at the same moment don't all choose the engine that
-/// seems best.
+/// [`NOISE_COST`] in fleets where updates come through relays: about the cost of one session, so
+/// that instances that choose at the same time don't all choose the engine with the best score.
 const RELAYED_NOISE_COST: f64 = 0.2;
 
-/// Whether a session is being moved off its engine.
+/// State of the move of a session off its engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Moving {
-    /// It stays.
+    /// The session is not being moved.
     #[default]
     Stays,
-    /// It has to move, and no engine has room for it.
+    /// The session has to move, and no engine has room for it yet.
     Seeks,
-    /// It moves.
+    /// The session is being moved.
     Moves,
 }
 
-/// One request of this instance that runs somewhere.
+/// One request of this instance that is running on a replica.
 #[derive(Clone, Debug)]
 pub struct OwnRun {
     /// The replica that runs it.
     pub replica: BackendId,
-    /// Its life when it was sent there; `None` where it wasn't listed.
+    /// Incarnation of the replica when the request was sent; `None` if it wasn't listed.
     pub life: Option<LifeId>,
-    /// The engine that keeps a copy.
+    /// The engine that holds a backup.
     pub backup: Option<BackendId>,
-    /// The life of that engine when it was chosen.
+    /// Incarnation of the backup engine when it was chosen.
     pub backup_life: Option<LifeId>,
-    /// What it asked for.
+    /// The placement request.
     pub ask: PlacementAsk,
-    /// Tokens that came out.
+    /// Number of tokens generated so far.
     pub generated: u32,
-    /// Whether its first event is there.
+    /// Whether its first event was received.
     pub has_begun: bool,
-    /// When its first event came from this replica.
+    /// Time of its first event from this replica.
     pub begun_at: Option<Now>,
-    /// Whether a replica has run it well for a while.
+    /// Whether a replica has run it without a crash for long enough.
     pub is_proven: bool,
-    /// Whether it is being moved off its replica.
+    /// State of its move off the replica.
     pub moving: Moving,
 }
 
 impl OwnRun {
     fn memory_tokens(&self) -> u64 {
-        let further = self.ask.likely_tokens().saturating_sub(self.generated) / 2;
-        u64::from(self.ask.prompt_tokens + self.generated + further)
+        let expected = self.ask.likely_tokens().saturating_sub(self.generated) / 2;
+        u64::from(self.ask.prompt_tokens + self.generated + expected)
     }
 }
 
-/// Sums up what the requests of this instance put on each replica.
+/// Returns the load that the requests of this instance put on each replica.
 pub fn own_shares(runs: &HashMap<RequestId, OwnRun>) -> LoadShares {
     let mut shares = LoadShares::new();
     for run in runs.values() {
@@ -110,40 +109,40 @@
     shares
 }
 
-/// Figures that decide between replicas.
+/// Score of a replica and the figures behind it.
 #[derive(Clone, Debug)]
 pub struct ReplicaScore {
     /// The replica.
     pub replica: Replica,
-    /// What all instances have put on it, as far as known.
+    /// Load from all instances, as far as known.
     pub load: LoadShare,
-    /// Share of the memory that would be taken, 0 where there is none.
+    /// Share of the memory that would be used, 0 for a replica that is not an engine.
     pub memory: f64,
     /// The sum of all costs; the lowest is best.
     pub cost: f64,
 }
 
-/// What scoring needs besides the replica.
+/// Inputs of the scoring besides the replica.
 pub struct ScoreContext<'a> {
-    /// Now.
+    /// The current time.
     pub now: Now,
-    /// Zone of this instance.
+    /// Availability zone of this instance.
     pub zone: &'a str,
-    /// All zones that have replicas of the service.
+    /// All availability zones with replicas of the service.
     pub zones: &'a BTreeSet<ZoneId>,
-    /// Traits of the engines, if they are engines.
+    /// Traits of the engines; `None` if the replicas are not engines.
     pub engine: Option<&'a EngineTraits>,
-    /// The request.
+    /// The placement request.
     pub ask: &'a PlacementAsk,
-    /// How much longer the replica is cold.
+    /// Remaining warm-up time of the replica.
     pub cold_for: Duration,
-    /// A number from 0 to 1 for the random part.
+    /// Random number from 0 to 1 for the random part.
     pub noise: f64,
-    /// Whether instances hear of each other's sessions by way of relays.
+    /// Whether instances receive each other's load through relays.
     pub by_relays: bool,
 }
 
-/// Scores one replica under the load that all instances have put on it.
+/// Scores one replica under the load of all instances.
 pub fn score(
     replica: &Replica,
     load: LoadShare,
@@ -182,11 +181,12 @@
     }
 }
 
-/// Zones that come before the one of this instance, of those without the replica.
+/// Returns the number of zones that rank before this instance's, among those other than the
+/// replica's.
 fn zones_before(replica: &Replica, context: &ScoreContext<'_>) -> usize {
     let others = context.zones.iter().map(String::as_str);
     let others = others.filter(|zone| *zone != replica.availability_zone);
     let rank = rendezvous_rank(&replica.id, others);
-    let place = rank.iter().position(|zone| *zone == context.zone);
-    place.unwrap_or(rank.len())
+    let position = rank.iter().position(|zone| *zone == context.zone);
+    position.unwrap_or(rank.len())
 }
