--- a/crates/core/tests/config_scene/calls.rs
+++ b/crates/core/tests/config_scene/calls.rs
@@ -1,69 +1,69 @@
-//! Calls over connections that are kept, fall silent, or lead nowhere.
+//! Simulated calls over connections that are pooled, stall, or get no answer.
 
 use std::time::Duration;
 
 use iristhread_core::ConfigVersion;
 use iristhread_core::Now;
 
-/// Way to the directory or a peer and back.
+/// Round-trip time to the directory or a peer.
 const ROUND_TRIP: Duration = Duration::from_millis(10);
 
-/// Connections that rest between two calls, each with its last use.
+/// Idle connections, each with the time of its last use.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    resting: Vec<Connection>,
+    idle: Vec<Connection>,
 }
 
-/// A connection to one place.
+/// A connection to the directory or a peer.
 #[derive(Clone, Copy, Debug)]
 pub struct Connection {
     used_at: Now,
-    is_silent: bool,
+    is_stalled: bool,
 }
 
 impl Connection {
     pub fn new(now: Now) -> Connection {
         Connection {
             used_at: now,
-            is_silent: false,
+            is_stalled: false,
         }
     }
 
-    pub fn is_silent(&self) -> bool {
-        self.is_silent
+    pub fn is_stalled(&self) -> bool {
+        self.is_stalled
     }
 
-    pub fn fall_silent(&mut self) {
-        self.is_silent = true;
+    pub fn stall(&mut self) {
+        self.is_stalled = true;
     }
 }
 
 impl Pool {
-    /// The connection used last that has not rested for longer than `rest`, or a new one.
-    pub fn take(&mut self, now: Now, rest: Duration) -> Connection {
-        self.resting
-            .retain(|connection| now.saturating_sub(connection.used_at) <= rest);
-        self.resting.pop().unwrap_or(Connection::new(now))
+    /// Returns the last used connection that was idle for at most `max_idle`, or a new one.
+    pub fn take(&mut self, now: Now, max_idle: Duration) -> Connection {
+        self.idle
+            .retain(|connection| now.saturating_sub(connection.used_at) <= max_idle);
+        self.idle.pop().unwrap_or(Connection::new(now))
     }
 
-    /// Keeps a connection on which an answer came.
-    pub fn keep(&mut self, now: Now, mut connection: Connection) {
+    /// Returns a connection to the pool after an answer.
+    pub fn put_back(&mut self, now: Now, mut connection: Connection) {
         connection.used_at = now;
-        self.resting.push(connection);
+        self.idle.push(connection);
     }
 
-    pub fn fall_silent(&mut self) {
-        for connection in &mut self.resting {
-            connection.fall_silent();
+    pub fn stall(&mut self) {
+        for connection in &mut self.idle {
+            connection.stall();
         }
     }
 }
 
-/// A call to the directory that is under way.
+/// A call to the directory that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Call {
     pub sent: Now,
-    /// The version after which a watch waits; `None` reads all.
+    /// The version after which a watch waits; `None` for a full read.
     pub after: Option<ConfigVersion>,
     pub wait: Duration,
     pub connection: Connection,
@@ -71,10 +71,10 @@
 }
 
 impl Call {
-    /// When the directory answers, and with which version.
+    /// Returns the time of the answer, and its version.
     pub fn answer(&self, acked: &[(ConfigVersion, Now)]) -> (Now, ConfigVersion) {
-        let news = |after| acked.iter().find(|(version, _)| *version > after);
-        let at = match self.after.map(news) {
+        let update = |after| acked.iter().find(|(version, _)| *version > after);
+        let at = match self.after.map(update) {
             None => self.sent,
             Some(None) => self.sent + self.wait,
             Some(Some((_, acked_at))) => (*acked_at).clamp(self.sent, self.sent + self.wait),
--- a/crates/core/tests/config_scene/instance.rs
+++ b/crates/core/tests/config_scene/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its members, its reader of the directory, and what it fetches from peers.
+//! One simulated instance: its members, its reader of the directory, and its fetches from peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,15 +24,15 @@
 use super::calls::Connection;
 use super::calls::Pool;
 
-/// Rest after which a connection of a watch is not used again.
-const LONGEST_REST: Duration = Duration::from_millis(300);
+/// Idle time after which a connection of a watch is not reused.
+const MAX_IDLE: Duration = Duration::from_millis(300);
 
-/// Time in which news are gathered before a heartbeat tells them.
-const GATHERING: Duration = Duration::from_millis(10);
+/// Time in which updates are collected before a heartbeat advertises them.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// A heartbeat.
 #[derive(Clone)]
-pub struct Beat {
+pub struct Heartbeat {
     address: SocketAddr,
     state: MemberState,
     config_age: Option<Duration>,
@@ -40,20 +40,20 @@
     pass_on: bool,
 }
 
-/// What the reader does.
+/// State of the reader.
 #[derive(Clone, Copy, Debug)]
 enum Reader {
-    Looks(Now),
-    Calls(Call),
-    Pauses(Now),
+    Idle(Now),
+    Calling(Call),
+    BackingOff(Now),
 }
 
-/// What the fetching task does.
+/// State of the fetching task.
 #[derive(Clone, Copy, Debug)]
 enum Fetch {
     Idle,
-    Waits { until: Now, had: ConfigVersion },
-    Asks { until: Now },
+    Delayed { until: Now, had: ConfigVersion },
+    Fetching { until: Now },
 }
 
 pub struct Instance {
@@ -65,8 +65,8 @@
     pub frozen_until: Now,
     pub no_store_until: Now,
     pub no_peers_until: Now,
-    /// End of the last trouble of its own.
-    pub trouble_ended: Now,
+    /// End of its last fault.
+    pub fault_ended: Now,
     members: FleetMembers,
     reader: Reader,
     fetch: Fetch,
@@ -75,15 +75,16 @@
     confirmed_at: Option<Now>,
     lag: ConfigLag,
     can_read: bool,
-    /// Whether the last call failed; the pause after the next failure.
-    in_trouble: bool,
+    /// Whether the last call failed.
+    has_failed: bool,
+    /// Retry delay after the next failure.
     pause: Duration,
     watched: Option<ConfigVersion>,
-    life: u64,
+    start_ms: u64,
     sequence: u64,
-    beats_at: Now,
-    held: Vec<Beat>,
-    bundle: Vec<Beat>,
+    next_heartbeat: Now,
+    held: Vec<Heartbeat>,
+    bundle: Vec<Heartbeat>,
 }
 
 pub fn address(number: usize) -> SocketAddr {
@@ -92,7 +93,7 @@
 
 fn number(address: &SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
-        panic!("the world has IPv4 only");
+        panic!("the environment has IPv4 only");
     };
     usize::from(address.ip().octets()[3])
 }
@@ -106,14 +107,14 @@
 }
 
 impl Instance {
-    /// A process that begins with nothing known.
+    /// Starts a process without any state.
     pub fn start(own: usize, zones: usize, at: Now, random: &mut Pcg32) -> Instance {
         let zone = zone_of(own, zones);
         let seeds = (0..3).map(address).collect();
         let members = FleetMembers::new(format!("i{own}"), zone.clone(), 250, address(own), seeds);
         let mut pool = Pool::default();
-        // That of the reader of the list, once that leaves it to others.
-        pool.keep(at, Connection::new(at));
+        // The connection of the reader of the list, idle once it leaves reading to others.
+        pool.put_back(at, Connection::new(at));
         Instance {
             own,
             zone,
@@ -123,28 +124,28 @@
             frozen_until: Now::ZERO,
             no_store_until: Now::ZERO,
             no_peers_until: Now::ZERO,
-            trouble_ended: at,
+            fault_ended: at,
             members,
-            reader: Reader::Looks(at + Duration::from_millis(below(random, 100))),
+            reader: Reader::Idle(at + Duration::from_millis(below(random, 100))),
             fetch: Fetch::Idle,
             pool,
             cycle: WatchCycle::default(),
             confirmed_at: None,
             lag: ConfigLag::default(),
             can_read: true,
-            in_trouble: false,
+            has_failed: false,
             pause: FIRST_PAUSE,
             watched: None,
-            life: at.as_millis() as u64,
+            start_ms: at.as_millis() as u64,
             sequence: 0,
-            beats_at: at + Duration::from_millis(below(random, 200)),
+            next_heartbeat: at + Duration::from_millis(below(random, 200)),
             held: Vec::new(),
             bundle: Vec::new(),
         }
     }
 
-    /// The same after its process was killed.
-    pub fn again(own: usize, zones: usize, at: Now, random: &mut Pcg32) -> Instance {
+    /// Restarts the instance after its process was killed.
+    pub fn restart(own: usize, zones: usize, at: Now, random: &mut Pcg32) -> Instance {
         Instance::start(own, zones, at, random)
     }
 
@@ -153,79 +154,81 @@
     }
 
     pub fn is_reading(&self) -> bool {
-        matches!(self.reader, Reader::Calls(_))
+        matches!(self.reader, Reader::Calling(_))
     }
 
     pub fn freeze(&mut self, until: Now) {
         self.frozen_until = self.frozen_until.max(until);
-        self.trouble_ended = self.trouble_ended.max(until);
+        self.fault_ended = self.fault_ended.max(until);
     }
 
-    /// It is cut off from the directory: what is under way gets no answer.
-    pub fn struck(&mut self, until: Now) {
-        self.trouble_ended = self.trouble_ended.max(until);
+    /// Cuts the instance off from the directory: the call in flight gets no answer.
+    pub fn cut_off(&mut self, until: Now) {
+        self.fault_ended = self.fault_ended.max(until);
         self.call_hangs();
     }
 
-    /// The call that is under way gets no answer.
+    /// Lets the call in flight get no answer.
     pub fn call_hangs(&mut self) {
-        if let Reader::Calls(call) = &mut self.reader {
+        if let Reader::Calling(call) = &mut self.reader {
             call.hangs = true;
         }
     }
 
-    /// All its open connections fall silent.
-    pub fn fall_silent(&mut self, now: Now) {
+    /// Stalls all its open connections.
+    pub fn stall_connections(&mut self, now: Now) {
         if now < self.down_until {
-            // Its next process has none yet.
+            // The next process has no connections yet.
             return;
         }
-        self.pool.fall_silent();
-        self.struck(now);
+        self.pool.stall();
+        self.cut_off(now);
     }
 
-    /// Lets the reader go on; returns the calls that it made.
+    /// Advances the reader; returns the number of calls that it made.
     pub fn read(
         &mut self,
         now: Now,
         acked: &[(ConfigVersion, Now)],
-        reaches: bool,
+        is_reachable: bool,
         random: &mut Pcg32,
     ) -> u64 {
         for beat in std::mem::take(&mut self.held) {
             self.receive(now, beat, random);
         }
-        if let Reader::Calls(call) = self.reader {
-            self.hear_answer(now, call, acked, random);
+        if let Reader::Calling(call) = self.reader {
+            self.receive_answer(now, call, acked, random);
         }
         match self.reader {
-            Reader::Looks(at) | Reader::Pauses(at) if now >= at => self.look(now, reaches),
+            Reader::Idle(at) | Reader::BackingOff(at) if now >= at => {
+                self.check_read(now, is_reachable)
+            }
             _ => 0,
         }
     }
 
-    fn look(&mut self, now: Now, reaches: bool) -> u64 {
+    fn check_read(&mut self, now: Now, is_reachable: bool) -> u64 {
         if !self.reads(now) {
             self.watched = None;
-            self.reader = Reader::Looks(now + READ_CHECK_INTERVAL);
+            self.reader = Reader::Idle(now + READ_CHECK_INTERVAL);
             return 0;
         }
-        let after = self.watched.filter(|_| !self.in_trouble);
+        let after = self.watched.filter(|_| !self.has_failed);
         let connection = match after {
-            Some(_) => self.pool.take(now, LONGEST_REST),
+            Some(_) => self.pool.take(now, MAX_IDLE),
             None => Connection::new(now),
         };
-        self.reader = Reader::Calls(Call {
+        self.reader = Reader::Calling(Call {
             sent: now,
             after,
             wait: after.map_or(Duration::ZERO, |_| self.cycle.next_wait(now)),
             connection,
-            hangs: !reaches || connection.is_silent(),
+            hangs: !is_reachable || connection.is_stalled(),
         });
         1
     }
 
-    fn hear_answer(
+    fn receive_answer(
         &mut self,
         now: Now,
         call: Call,
@@ -235,7 +238,7 @@
         let (answered_at, version) = call.answer(acked);
         if !call.hangs && now >= answered_at {
             if call.after.is_some() {
-                self.pool.keep(now, call.connection);
+                self.pool.put_back(now, call.connection);
             }
             self.version = self.version.max(version);
             let is_quiet = call.after == Some(version);
@@ -243,24 +246,24 @@
             self.confirmed_at = Some(self.cycle.answered(call.sent, quiet_for, now));
             self.watched = Some(version);
             self.can_read = true;
-            self.in_trouble = false;
+            self.has_failed = false;
             self.pause = FIRST_PAUSE;
-            self.beats_at = self.beats_at.min(now + GATHERING);
-            self.reader = Reader::Looks(now);
+            self.next_heartbeat = self.next_heartbeat.min(now + BATCH_DELAY);
+            self.reader = Reader::Idle(now);
         } else if now >= call.sent + call.wait + ANSWER_TIMEOUT {
             self.can_read = false;
-            self.in_trouble = true;
+            self.has_failed = true;
             let width = RETRY_JITTER.end - RETRY_JITTER.start;
             let factor = RETRY_JITTER.start + width * below(random, 1_000) as f64 / 1_000.0;
             let pause = self.pause.mul_f64(factor);
             self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-            self.reader = Reader::Pauses(now + pause);
+            self.reader = Reader::BackingOff(now + pause);
         }
     }
 
     fn known_confirmed_at(&self, now: Now) -> Option<Now> {
-        let heard = self.members.config_confirmed_at(now, self.version);
-        self.confirmed_at.max(heard)
+        let received = self.members.config_confirmed_at(now, self.version);
+        self.confirmed_at.max(received)
     }
 
     fn reads(&mut self, now: Now) -> bool {
@@ -275,10 +278,10 @@
         is_stuck || for_others || self.members.reads(now, confirmed_at, self.can_read)
     }
 
-    /// The peer that is asked now for a newer version, if one is.
-    pub fn peer_to_ask(&mut self, now: Now) -> Option<usize> {
-        let Fetch::Waits { until, had } = self.fetch else {
-            if matches!(self.fetch, Fetch::Asks { until } if now >= until) {
+    /// Returns the peer that is queried for a newer version now, if any.
+    pub fn peer_to_query(&mut self, now: Now) -> Option<usize> {
+        let Fetch::Delayed { until, had } = self.fetch else {
+            if matches!(self.fetch, Fetch::Fetching { until } if now >= until) {
                 self.fetch = Fetch::Idle;
             }
             return None;
@@ -288,30 +291,30 @@
         }
         self.fetch = Fetch::Idle;
         let sources = self.members.sources(now, self.version, 0.into());
-        let place = self.sequence as usize % sources.len().max(1);
-        let (address, _) = sources.get(place)?;
+        let index = self.sequence as usize % sources.len().max(1);
+        let (address, _) = sources.get(index)?;
         (self.version == had).then(|| number(address))
     }
 
-    /// What came of asking a peer.
-    pub fn asked(&mut self, now: Now, answer: Option<ConfigVersion>) {
+    /// Applies the answer of a queried peer.
+    pub fn apply_answer(&mut self, now: Now, answer: Option<ConfigVersion>) {
         match answer {
             Some(version) => self.version = self.version.max(version),
             None => {
-                self.fetch = Fetch::Asks {
+                self.fetch = Fetch::Fetching {
                     until: now + FETCH_TIMEOUT,
                 };
             }
         }
     }
 
-    /// The heartbeats that it sends now.
-    pub fn beat(&mut self, now: Now, random: &mut Pcg32) -> Vec<(usize, Beat)> {
+    /// Returns the heartbeats that the instance sends now, with their receivers.
+    pub fn heartbeats(&mut self, now: Now, random: &mut Pcg32) -> Vec<(usize, Heartbeat)> {
         let mut sent = Vec::new();
-        if now >= self.beats_at {
-            self.beats_at = now + self.members.beat_interval(now);
+        if now >= self.next_heartbeat {
+            self.next_heartbeat = now + self.members.beat_interval(now);
             let fan_out = self.members.fan_out(now, random);
-            let mut beat = self.own_beat(now, random);
+            let mut beat = self.own_heartbeat(now, random);
             for to in &fan_out.direct {
                 sent.push((number(to), beat.clone()));
             }
@@ -332,14 +335,14 @@
         sent
     }
 
-    fn own_beat(&mut self, now: Now, random: &mut Pcg32) -> Beat {
+    fn own_heartbeat(&mut self, now: Now, random: &mut Pcg32) -> Heartbeat {
         self.sequence += 1;
         let confirmed_at = self.known_confirmed_at(now);
-        Beat {
+        Heartbeat {
             address: address(self.own),
             state: MemberState {
                 instance: format!("i{}", self.own),
-                incarnation: format!("life {}", self.life),
+                incarnation: format!("life {}", self.start_ms),
                 sequence: self.sequence,
                 said_at: now,
                 zone: self.zone.clone(),
@@ -357,8 +360,8 @@
         }
     }
 
-    /// Takes a heartbeat, once it doesn't stand still.
-    pub fn receive(&mut self, now: Now, beat: Beat, random: &mut Pcg32) {
+    /// Receives a heartbeat; a suspended process holds it until it resumes.
+    pub fn receive(&mut self, now: Now, beat: Heartbeat, random: &mut Pcg32) {
         if now < self.frozen_until {
             self.held.push(beat);
             return;
@@ -380,10 +383,10 @@
         }
         if arrival == Arrival::FirstOfLife {
             self.members.greet(beat.address);
-            self.beats_at = self.beats_at.min(now + GATHERING);
+            self.next_heartbeat = self.next_heartbeat.min(now + BATCH_DELAY);
         }
         if is_ahead && matches!(self.fetch, Fetch::Idle) {
-            self.fetch = Fetch::Waits {
+            self.fetch = Fetch::Delayed {
                 until: now
                     + Duration::from_millis(below(random, MAX_FETCH_DELAY.as_millis() as u64)),
                 had: self.version,
--- a/crates/core/tests/gateway_list.rs
+++ b/crates/core/tests/gateway_list.rs
@@ -1,4 +1,4 @@
-//! The list of backend servers as instances hand it on: whole, or what has changed.
+//! The list of backend servers as instances advertise it: in full, or as a delta.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -35,36 +35,39 @@
 }
 
 #[test]
-fn only_what_has_changed_is_handed_on() {
+fn only_changes_are_advertised() {
     let mut source = fleet_of(3_000);
     let mut behind = ReplicaList::default();
     behind.hear(NOW, source.delta_since(NOW, 0));
     source.change(NOW, 11, listed_change(leaving("e7", "z1")));
     source.change(NOW, 12, vec![ReplicaChange::Removed("e8".to_owned())]);
     source.change(NOW, 13, listed_change(engine("new", "z1")));
-    let told = source.delta_since(NOW, behind.revision());
-    assert_eq!((told.replicas.len(), told.removed.len()), (2, 1));
-    assert!(behind.hear(NOW, told));
+    let advertised = source.delta_since(NOW, behind.revision());
+    assert_eq!(
+        (advertised.replicas.len(), advertised.removed.len()),
+        (2, 1)
+    );
+    assert!(behind.hear(NOW, advertised));
     assert_eq!(listed(&behind, NOW), listed(&source, NOW));
     assert_eq!(behind.state("e8"), ListedState::Removed);
 }
 
 #[test]
-fn who_knows_nothing_gets_the_whole_list() {
+fn an_instance_without_a_list_gets_the_full_list() {
     let source = fleet_of(5);
-    let told = source.delta_since(NOW, 0);
-    assert_eq!((told.above, told.replicas.len()), (0.into(), 5));
+    let advertised = source.delta_since(NOW, 0);
+    assert_eq!((advertised.above, advertised.replicas.len()), (0.into(), 5));
 }
 
 #[test]
-fn a_change_from_before_the_source_knew_the_list_makes_it_whole() {
+fn a_revision_before_the_first_of_the_source_gets_the_full_list() {
     let source = fleet_of(5);
     assert_eq!(source.delta_since(NOW, 9).above, 0.into());
     assert_eq!(source.delta_since(NOW, 10).above, 10.into());
 }
 
 #[test]
-fn changes_after_what_one_does_not_have_change_nothing() {
+fn a_delta_above_an_unknown_revision_is_ignored() {
     let mut source = fleet_of(5);
     let mut behind = ReplicaList::default();
     behind.hear(NOW, source.told(NOW));
@@ -75,10 +78,10 @@
     assert_eq!(behind.state("e1"), ListedState::Serving);
 }
 
-/// An entry that lapsed while the platform was away is removed for whoever hears of it
-/// later, too, and one that came back is there.
+/// An entry that expired during an outage of the platform is also expired and then removed at
+/// instances that receive the list later, and one that was rewritten is serving.
 #[test]
-fn entries_that_lapsed_are_handed_on_as_such() {
+fn expired_entries_are_advertised_as_such() {
     let mut source = fleet_of(3);
     let mut behind = ReplicaList::default();
     behind.hear(NOW, source.told(NOW));
@@ -92,7 +95,7 @@
     assert_eq!(behind.expire(NOW + ms(2_000)), ["e1"]);
 }
 
-/// One random change of what the platform lists.
+/// Returns one random change of the platform's list.
 fn change_of(random: &mut Pcg32, number: u32) -> ReplicaChange {
     let id = format!("e{}", random.next_u32() % 40);
     match random.next_u32() % 4 {
@@ -103,8 +106,8 @@
     }
 }
 
-/// Whoever asks at whatever moment has the same list as the source afterwards, whether
-/// the source read changes or anew, and however late the answer comes.
+/// After each answer, the receiver has the same list as the source, whether the source read
+/// changes or a full list. Answers that arrive late don't change that.
 #[test]
 fn lists_agree_after_each_answer() {
     for seed in 0..300_u64 {
@@ -122,20 +125,20 @@
                 let change = change_of(&mut random, step);
                 source.change(NOW, revision, vec![change]);
             }
-            let place = random.next_u32() as usize % others.len();
-            let told = source.delta_since(NOW, others[place].revision());
+            let receiver = random.next_u32() as usize % others.len();
+            let advertised = source.delta_since(NOW, others[receiver].revision());
             if random.next_u32().is_multiple_of(3) {
-                late.push((place, told));
+                late.push((receiver, advertised));
                 continue;
             }
-            assert!(others[place].hear(NOW, told), "seed {seed}");
+            assert!(others[receiver].hear(NOW, advertised), "seed {seed}");
             assert_eq!(
-                listed(&others[place], NOW),
+                listed(&others[receiver], NOW),
                 listed(&source, NOW),
                 "seed {seed}"
             );
-            for (place, told) in late.split_off(late.len() / 2) {
-                others[place].hear(NOW, told);
+            for (receiver, advertised) in late.split_off(late.len() / 2) {
+                others[receiver].hear(NOW, advertised);
             }
         }
     }
--- a/crates/core/tests/gateway_readers.rs
+++ b/crates/core/tests/gateway_readers.rs
@@ -1,4 +1,4 @@
-//! Which instances read the platform's directory.
+//! Selection of the instances that read the platform's directory.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn another_reads_when_the_reader_falls_silent() {
+fn another_instance_reads_when_the_reader_stops_sending() {
     let fleet = zone_of(5, ms(1_000));
     let reader = fleet
         .iter()
@@ -42,10 +42,11 @@
     assert_eq!(readers, 1);
 }
 
-/// The first of a zone by rank, the others a little later: who is relied on may be cut off.
-#[test_case(true; "who could read before")]
-#[test_case(false; "who could not")]
-fn each_reads_by_itself_when_what_is_known_is_old(could_read: bool) {
+/// The first instance of a zone by rank reads first, the others a little later, because the first
+/// one may be cut off from the directory.
+#[test_case(true; "could read before")]
+#[test_case(false; "could not read before")]
+fn each_instance_reads_when_its_state_is_stale(could_read: bool) {
     let confirmed_at = ms(1_000);
     let readers_at = |age_ms| {
         let now = confirmed_at + ms(age_ms);
@@ -60,12 +61,12 @@
     assert_eq!(readers_at(60_000), 20);
 }
 
-/// Whether each of them can read or not: who can has to be found, and a large list that all
-/// of them read at once costs many pages each.
-#[test_case(true; "who could read before")]
-#[test_case(false; "who could not")]
-fn a_few_read_the_list_by_turns_when_what_is_known_is_old(could_read: bool) {
-    let mut had_a_turn = BTreeSet::new();
+/// Applies whether or not the instances could read before: one that can read has to be found, and
+/// if all read a large list at once, each read takes many pages.
+#[test_case(true; "could read before")]
+#[test_case(false; "could not read before")]
+fn a_few_instances_read_the_list_in_rotation_when_it_is_stale(could_read: bool) {
+    let mut had_turn = BTreeSet::new();
     for second in 100..160 {
         let now = Duration::from_secs(second);
         let mut fleet = zone_of(20, now);
@@ -77,14 +78,14 @@
         let reads = |own: &usize| fleet[*own].reads_list(now, Some(ms(1_000)), could_read);
         let readers: Vec<usize> = (0..fleet.len()).filter(reads).collect();
         assert_eq!(readers.len(), 2, "at second {second}");
-        had_a_turn.extend(readers);
+        had_turn.extend(readers);
     }
-    assert_eq!(had_a_turn.len(), 20, "everybody has a turn");
+    assert_eq!(had_turn.len(), 20, "each instance reads at some time");
 }
 
-/// An instance that could read left it to others of its zone, who could not.
+/// Guards against an instance that can read leaving it to others of its zone that cannot.
 #[test]
-fn who_can_read_reads_when_the_others_of_its_zone_cannot() {
+fn an_instance_that_can_read_does_so_when_others_of_its_zone_cannot() {
     for second in 100..160 {
         let now = Duration::from_secs(second);
         let mut fleet = members(1);
@@ -94,12 +95,12 @@
             fleet.hear(now, address(other), cut_off);
         }
         let reads = fleet.reads(now, Some(ms(1_000)), true);
-        assert!(reads, "at second {second} it is the turn of others");
+        assert!(reads, "at second {second} in the rotation");
     }
 }
 
 #[test]
-fn an_instance_that_hears_nobody_reads() {
+fn an_instance_without_peers_reads() {
     assert!(members(3).reads(ms(100), Some(ms(0)), true));
     assert!(members(3).reads(ms(100), None, true));
 }
--- a/crates/core/tests/revision.rs
+++ b/crates/core/tests/revision.rs
@@ -1,5 +1,5 @@
-//! What a directory that came back from a copy says is newer, whatever it counts; what it
-//! lacks or brings back cuts nobody's work.
+//! State of a directory that was restored from a copy is newer, whatever its count. Entries that
+//! the copy lacks or brings back interrupt no work.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -44,41 +44,41 @@
     }
 }
 
-/// Decisions that have read nothing of the directory.
-fn fresh() -> GatewayControl {
+/// Returns a control that has read nothing from the directory.
+fn new_control() -> GatewayControl {
     let mut control = gateway_scene::control();
     control.offer_config(Arc::new(config(1)));
     control
 }
 
-fn lists(control: &mut GatewayControl, revision: Revision, replicas: &[Replica]) {
+fn offer_list(control: &mut GatewayControl, revision: Revision, replicas: &[Replica]) {
     control.offer_replicas(NOW, revision, replicas.to_vec());
 }
 
-#[test_case(at(1, 3), at(0, 900), true; "a later era counts from lower")]
-#[test_case(at(0, 900), at(1, 3), false; "an earlier era has counted higher")]
-#[test_case(at(2, 4), at(2, 3), true; "one era")]
-fn which_is_newer(one: Revision, other: Revision, is_newer: bool) {
+#[test_case(at(1, 3), at(0, 900), true; "a later era with a lower count")]
+#[test_case(at(0, 900), at(1, 3), false; "an earlier era with a higher count")]
+#[test_case(at(2, 4), at(2, 3), true; "the same era")]
+fn the_era_is_compared_before_the_count(one: Revision, other: Revision, is_newer: bool) {
     assert_eq!(one > other, is_newer);
 }
 
 #[test]
-fn news_of_an_earlier_era_undo_nothing() {
-    let mut control = fresh();
-    lists(&mut control, at(2, 5), &[born("a", 1)]);
-    lists(&mut control, at(1, 900), &[]);
+fn an_update_of_an_earlier_era_is_ignored() {
+    let mut control = new_control();
+    offer_list(&mut control, at(2, 5), &[born("a", 1)]);
+    offer_list(&mut control, at(1, 900), &[]);
     control.change_replicas(NOW, at(1, 901), vec![removed("a")]);
-    // Nor do changes of a later one, before which the whole list is missing.
+    // Changes of a later era are ignored, too, since its full list is missing.
     control.change_replicas(NOW, at(3, 1), vec![removed("a")]);
     assert_eq!(control.list().state("a"), ListedState::Serving);
     assert_eq!(control.list().revision(), at(2, 5));
 }
 
 #[test]
-fn what_a_copy_lacks_has_lapsed() {
-    let mut control = fresh();
-    lists(&mut control, at(1, 9), &[born("a", 1), born("b", 1)]);
-    lists(&mut control, at(2, 3), &[born("a", 1)]);
+fn entries_that_a_copy_lacks_are_expired() {
+    let mut control = new_control();
+    offer_list(&mut control, at(1, 9), &[born("a", 1), born("b", 1)]);
+    offer_list(&mut control, at(2, 3), &[born("a", 1)]);
     assert_eq!(control.list().state("b"), ListedState::Expired);
     assert_eq!(control.list().lapsed(), ["b"]);
     control.change_replicas(NOW + ms(1_500), at(2, 4), listed(born("b", 1)));
@@ -87,64 +87,64 @@
 }
 
 #[test]
-fn what_a_copy_lacks_is_gone_unless_it_is_written_again() {
-    let mut control = fresh();
-    lists(&mut control, at(1, 9), &[born("a", 1), born("b", 1)]);
-    lists(&mut control, at(2, 3), &[born("a", 1)]);
+fn entries_that_a_copy_lacks_are_removed_unless_rewritten() {
+    let mut control = new_control();
+    offer_list(&mut control, at(1, 9), &[born("a", 1), born("b", 1)]);
+    offer_list(&mut control, at(2, 3), &[born("a", 1)]);
     control.tick(NOW + ms(2_001));
     assert_eq!(control.list().state("b"), ListedState::Removed);
 }
 
-/// A copy that brings an entry back is no proof that its server lives.
+/// An entry that a copy brings back does not prove that its server is running.
 #[test]
-fn a_server_that_was_gone_is_not_used_at_once() {
-    let mut control = fresh();
-    lists(&mut control, at(1, 8), &[born("a", 1)]);
+fn a_removed_server_that_a_copy_brings_back_is_not_used_at_once() {
+    let mut control = new_control();
+    offer_list(&mut control, at(1, 8), &[born("a", 1)]);
     control.change_replicas(NOW, at(1, 9), vec![removed("a")]);
-    lists(&mut control, at(2, 3), &[born("a", 1)]);
+    offer_list(&mut control, at(2, 3), &[born("a", 1)]);
     assert!(control.place(NOW + ms(100), ask("r1")).is_err());
     assert_eq!(control.list().unconfirmed(NOW + ms(100)), ["a"]);
     assert!(
         control.place(NOW + ms(4_100), ask("r2")).is_ok(),
-        "it stayed"
+        "the entry is still listed"
     );
 }
 
-/// Whatever it writes itself proves it.
+/// An entry that the server itself rewrites proves that it is running.
 #[test]
-fn a_server_that_was_gone_is_used_once_it_writes_again() {
-    let mut control = fresh();
-    lists(&mut control, at(1, 8), &[born("a", 1)]);
+fn a_removed_server_is_used_once_it_rewrites_its_entry() {
+    let mut control = new_control();
+    offer_list(&mut control, at(1, 8), &[born("a", 1)]);
     control.change_replicas(NOW, at(1, 9), vec![removed("a")]);
-    lists(&mut control, at(2, 3), &[born("a", 1)]);
+    offer_list(&mut control, at(2, 3), &[born("a", 1)]);
     control.change_replicas(NOW + ms(200), at(2, 4), listed(born("a", 1)));
     assert!(control.place(NOW + ms(300), ask("r1")).is_ok());
 }
 
-/// The copy knows an earlier life: sessions of the later one are not looked for anew.
+/// The copy lists an earlier incarnation: the sessions of the later one are not orphaned.
 #[test]
-fn an_earlier_life_in_a_copy_replaces_no_later_one() {
-    let mut control = fresh();
-    lists(&mut control, at(1, 8), &[born("a", 1)]);
-    lists(&mut control, at(1, 9), &[born("a", 2)]);
+fn an_earlier_incarnation_in_a_copy_replaces_no_later_one() {
+    let mut control = new_control();
+    offer_list(&mut control, at(1, 8), &[born("a", 1)]);
+    offer_list(&mut control, at(1, 9), &[born("a", 2)]);
     control.take_orphaned();
     control.place(NOW, ask("r1")).unwrap();
-    lists(&mut control, at(2, 3), &[born("a", 1)]);
+    offer_list(&mut control, at(2, 3), &[born("a", 1)]);
     assert!(control.take_orphaned().is_empty());
     assert_eq!(control.list().replica("a").unwrap().born_ms, Some(2));
     assert_eq!(control.list().state("a"), ListedState::Expired);
 }
 
 #[test]
-fn an_instance_of_an_earlier_era_gets_the_whole_list() {
+fn an_instance_of_an_earlier_era_gets_the_full_list() {
     let mut source = ReplicaList::default();
     source.snapshot(NOW, at(1, 9), vec![born("a", 1)]);
     source.snapshot(NOW, at(2, 3), vec![born("a", 1), born("b", 1)]);
-    let told = source.delta_since(NOW, at(1, 9));
-    assert!(told.above.is_none());
+    let advertised = source.delta_since(NOW, at(1, 9));
+    assert!(advertised.above.is_none());
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 9), vec![born("a", 1)]);
-    assert!(behind.hear(NOW, told));
+    assert!(behind.hear(NOW, advertised));
     assert_eq!(behind.state("b"), ListedState::Serving);
 }
 
@@ -155,7 +155,7 @@
     })
 }
 
-/// Sending there would break the order; it is written again within two seconds.
+/// Sending to the zone would break the order, which is rewritten within two seconds.
 #[test]
 fn an_evacuation_that_a_copy_lacks_holds_until_it_is_ordered_again() {
     let mut evacuations = ZoneEvacuations::default();
@@ -164,7 +164,7 @@
         .unwrap();
     evacuations.take(NOW, zones(at(2, 3), &[])).unwrap();
     assert!(evacuations.is_evacuated("z1"));
-    assert!(evacuations.told().zones.is_empty(), "nobody is told of it");
+    assert!(evacuations.told().zones.is_empty(), "it is not advertised");
     let again = EvacuationUpdate::Changed {
         after: at(2, 3),
         revision: at(2, 4),
@@ -176,16 +176,17 @@
     assert!(evacuations.is_evacuated("z1"));
 }
 
-/// Found by a generated schedule: the entry went and came as it was, and the teller, which
-/// took a whole list, had seen neither. Who had read in between never got it.
+/// Guards against a lost entry, found by a generated schedule: the entry was removed and rewritten
+/// unchanged, and the source, which took a full list, saw neither change. An instance that had
+/// read the directory in between never received the entry.
 #[test]
-fn an_entry_that_went_and_came_unseen_is_told() {
-    let mut teller = ReplicaList::default();
-    teller.snapshot(NOW, at(1, 2), vec![born("a", 1)]);
+fn an_entry_removed_and_rewritten_unseen_is_advertised() {
+    let mut source = ReplicaList::default();
+    source.snapshot(NOW, at(1, 2), vec![born("a", 1)]);
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 3), Vec::new());
-    teller.snapshot(NOW, at(1, 4), vec![born("a", 1)]);
-    behind.hear(NOW, teller.delta_since(NOW, behind.revision()));
+    source.snapshot(NOW, at(1, 4), vec![born("a", 1)]);
+    behind.hear(NOW, source.delta_since(NOW, behind.revision()));
     assert_eq!(behind.state("a"), ListedState::Serving);
 }
 
@@ -197,27 +198,29 @@
     ReplicaChange::Removed(id.to_owned())
 }
 
-/// Found so as well: the teller heard that an entry was written as it was.
+/// Guards against a lost entry, found by a generated schedule: the source received the change of
+/// an entry that was rewritten unchanged.
 #[test]
-fn an_entry_that_was_written_as_it_was_is_told_on() {
-    let mut teller = ReplicaList::default();
-    teller.snapshot(NOW, at(1, 2), vec![born("a", 1)]);
-    teller.change(NOW, at(1, 4), listed(born("a", 1)));
+fn an_entry_rewritten_unchanged_is_advertised() {
+    let mut source = ReplicaList::default();
+    source.snapshot(NOW, at(1, 2), vec![born("a", 1)]);
+    source.change(NOW, at(1, 4), listed(born("a", 1)));
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 3), Vec::new());
-    behind.hear(NOW, teller.delta_since(NOW, behind.revision()));
+    behind.hear(NOW, source.delta_since(NOW, behind.revision()));
     assert_eq!(behind.state("a"), ListedState::Serving);
 }
 
-/// And so: the teller heard of a removal of what it had never seen.
+/// Guards against a removal that is not advertised, found by a generated schedule: the source
+/// received the removal of an entry that it had never seen.
 #[test]
-fn a_removal_of_what_was_never_seen_is_told_on() {
-    let mut teller = ReplicaList::default();
-    teller.snapshot(NOW, at(1, 1), Vec::new());
-    teller.change(NOW, at(1, 3), vec![removed("a")]);
+fn the_removal_of_an_entry_never_seen_is_advertised() {
+    let mut source = ReplicaList::default();
+    source.snapshot(NOW, at(1, 1), Vec::new());
+    source.change(NOW, at(1, 3), vec![removed("a")]);
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 2), vec![born("a", 1)]);
-    behind.hear(NOW, teller.delta_since(NOW, behind.revision()));
+    behind.hear(NOW, source.delta_since(NOW, behind.revision()));
     assert_eq!(behind.state("a"), ListedState::Removed);
 }
 
@@ -231,22 +234,25 @@
     Remove {
         id: u8,
     },
+    /// The directory is copied.
     Copy,
-    ComeBack,
-    /// An instance reads the whole list, or what changed.
+    /// The directory is restored from the last copy.
+    Restore,
+    /// An instance reads the full list or the changes.
     Read {
         instance: usize,
     },
-    /// An instance hears the list of another.
-    Hear {
+    /// An instance receives the list of another.
+    Receive {
         from: usize,
         to: usize,
     },
-    /// An instance hears an old telling again.
-    HearLate {
+    /// An instance receives an earlier list again.
+    ReceiveLate {
         to: usize,
         place: usize,
     },
+    /// Time passes.
     Pass {
         ms: u64,
     },
@@ -258,15 +264,15 @@
         4 => (0_u8..5, 1_u64..4).prop_map(|(id, born_ms)| Step::Write { id, born_ms }),
         2 => (0_u8..5).prop_map(|id| Step::Remove { id }),
         1 => proptest::prelude::Just(Step::Copy),
-        1 => proptest::prelude::Just(Step::ComeBack),
+        1 => proptest::prelude::Just(Step::Restore),
         4 => instance().prop_map(|instance| Step::Read { instance }),
-        3 => (instance(), instance()).prop_map(|(from, to)| Step::Hear { from, to }),
-        2 => (instance(), any::<usize>()).prop_map(|(to, place)| Step::HearLate { to, place }),
+        3 => (instance(), instance()).prop_map(|(from, to)| Step::Receive { from, to }),
+        2 => (instance(), any::<usize>()).prop_map(|(to, place)| Step::ReceiveLate { to, place }),
         2 => (0_u64..5_000).prop_map(|ms| Step::Pass { ms }),
     ]
 }
 
-/// A directory that may come back from a copy, and what happened in this era.
+/// A directory that can be restored from a copy, with the changes of its era.
 #[derive(Clone, Default)]
 struct Directory {
     revision: Revision,
@@ -288,7 +294,7 @@
         self.log.push((self.revision.count, change));
     }
 
-    /// As a reader does: what changed where that can be told, else all.
+    /// Reads as a reader does: the changes if they are known, the full list otherwise.
     fn read(&self, now: Now, list: &mut ReplicaList) {
         let known = list.revision();
         if known.is_none() || known.era != self.revision.era {
@@ -302,7 +308,7 @@
     }
 }
 
-/// Schedules in CI; `PROPTEST_CASES` gives more by hand.
+/// Default number of schedules; `PROPTEST_CASES` overrides it.
 const SCHEDULES: u32 = 512;
 
 proptest! {
@@ -311,20 +317,20 @@
             .ok()
             .and_then(|cases| cases.parse().ok())
             .unwrap_or(SCHEDULES),
-        // The same schedules each time.
+        // The same schedules in each run.
         rng_seed: RngSeed::Fixed(41),
         failure_persistence: None,
         ..ProptestConfig::default()
     })]
 
-    /// Once all is quiet every instance holds what the directory holds, whatever came late,
-    /// twice or from others, and no instance went back on the way.
+    /// In the end every instance holds the entries of the directory, whatever arrived late, twice
+    /// or from other instances, and the revision of no instance ever decreases.
     #[test]
-    fn all_hold_what_the_directory_holds_in_the_end(steps in vec(step(), 1..60)) {
+    fn all_instances_converge_on_the_directory(steps in vec(step(), 1..60)) {
         let mut directory = Directory { revision: at(1, 1), ..Directory::default() };
         let mut copy = directory.clone();
         let mut lists = vec![ReplicaList::default(); 3];
-        let mut told = Vec::new();
+        let mut sent = Vec::new();
         let mut now = NOW;
         for step in steps {
             let before: Vec<Revision> = lists.iter().map(ReplicaList::revision).collect();
@@ -335,27 +341,27 @@
                 }
                 Step::Remove { id } => directory.write(ReplicaChange::Removed(format!("s{id}"))),
                 Step::Copy => copy = directory.clone(),
-                Step::ComeBack => {
+                Step::Restore => {
                     let era = directory.revision.era + 1;
                     directory = copy.clone();
                     directory.revision.era = era;
                     directory.log.clear();
                 }
                 Step::Read { instance } => directory.read(now, &mut lists[instance]),
-                Step::Hear { from, to } => {
-                    let telling = lists[from].delta_since(now, lists[to].revision());
-                    lists[to].hear(now, telling.clone());
-                    told.push(telling);
+                Step::Receive { from, to } => {
+                    let list = lists[from].delta_since(now, lists[to].revision());
+                    lists[to].hear(now, list.clone());
+                    sent.push(list);
                 }
-                Step::HearLate { to, place } if !told.is_empty() => {
-                    let late = told[place % told.len()].clone();
+                Step::ReceiveLate { to, place } if !sent.is_empty() => {
+                    let late = sent[place % sent.len()].clone();
                     lists[to].hear(now, late);
                 }
-                Step::HearLate { .. } => {}
+                Step::ReceiveLate { .. } => {}
                 Step::Pass { ms } => now += Duration::from_millis(ms),
             }
             for (list, before) in lists.iter().zip(before) {
-                assert!(list.revision() >= before, "it went back");
+                assert!(list.revision() >= before, "the revision decreased");
             }
         }
         for list in &mut lists {
--- a/crates/core/tests/watch_cycle.rs
+++ b/crates/core/tests/watch_cycle.rs
@@ -1,4 +1,4 @@
-//! What the answers of a reader's watches prove.
+//! The times that the answers of a reader's watches confirm.
 
 use std::time::Duration;
 
@@ -9,9 +9,10 @@
     Duration::from_millis(ms)
 }
 
-/// A reader that stood still before it handled an answer told old knowledge as new.
+/// Guards against advertising stale state as new: a reader was suspended before it handled an
+/// answer.
 #[test]
-fn an_answer_that_is_handled_late_confirms_nothing_later() {
+fn an_answer_handled_late_confirms_the_time_it_was_given() {
     let mut cycle = WatchCycle::default();
     let quiet_for = Some(ms(1_000));
     assert_eq!(cycle.answered(ms(500), quiet_for, ms(9_000)), ms(1_500));
@@ -19,13 +20,13 @@
 }
 
 #[test]
-fn an_answer_that_comes_before_the_wait_is_over_confirms_its_call() {
+fn an_answer_before_the_end_of_the_wait_confirms_the_start_of_the_call() {
     let mut cycle = WatchCycle::default();
     assert_eq!(cycle.answered(ms(500), Some(ms(1_000)), ms(700)), ms(500));
 }
 
 #[test]
-fn what_is_confirmed_never_gets_older() {
+fn the_confirmed_time_never_decreases() {
     let mut cycle = WatchCycle::default();
     cycle.answered(ms(2_000), None, ms(2_010));
     assert_eq!(
@@ -34,16 +35,17 @@
     );
 }
 
-/// Changes just before the end of a watch would else let knowledge grow two watches old.
+/// Guards against confirmations that are two watches old, after a change just before the end of
+/// a watch.
 #[test]
-fn a_watch_after_changes_ends_when_the_one_before_would_have() {
+fn a_watch_after_a_change_ends_when_the_previous_one_would_have() {
     let mut cycle = WatchCycle::default();
     assert_eq!(cycle.next_wait(ms(0)), ms(100), "nothing is confirmed yet");
     cycle.answered(ms(0), None, ms(900));
     assert_eq!(
         cycle.next_wait(ms(900)),
         ms(200),
-        "with the pause between two"
+        "with the gap between two watches"
     );
     cycle.answered(ms(900), Some(ms(200)), ms(1_100));
     assert_eq!(cycle.next_wait(ms(1_100)), ms(1_000));
