--- a/crates/core/src/configuration/gateway_config.rs
+++ b/crates/core/src/configuration/gateway_config.rs
@@ -113,7 +113,7 @@
     pub name: WorkspaceId,
     /// BLAKE3 hashes (hex) of its callers' keys.
     pub key_hashes: Vec<String>,
-    /// Priority of its requests, 0 is the highest; it is compared before that of the route.
+    /// Priority of its requests, 0 is the highest; it takes precedence over that of the route.
     pub rank: u8,
     /// Regions whose backend servers may receive its requests; `None` for all regions.
     #[serde(default)]
--- a/crates/core/src/directory/replica_list/stale_lists.rs
+++ b/crates/core/src/directory/replica_list/stale_lists.rs
@@ -9,7 +9,7 @@
 
 /// Time for which a removed server is not used after a copy of the directory brings its entry
 /// back: the entry of a server that isn't running expires after three heartbeats of 1.2 s.
-const UNCONFIRMED_FOR: Duration = Duration::from_secs(4);
+const RESTORED_ENTRY_DELAY: Duration = Duration::from_secs(4);
 
 impl ReplicaList {
     /// Splits the entries of a copy of the directory into trusted ones and incarnations that were
@@ -30,7 +30,7 @@
         let id = replica.id.clone();
         self.insert(now, replica);
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.unconfirmed_until = now + UNCONFIRMED_FOR;
+            entry.unconfirmed_until = now + RESTORED_ENTRY_DELAY;
         }
     }
 
