--- a/crates/core/src/directory/replica_list.rs
+++ b/crates/core/src/directory/replica_list.rs
@@ -48,7 +48,7 @@
     /// Draining: finishes its current work.
     Leaving,
     /// The entry was lost during an outage of the platform; it counts as serving for
-    /// [`EXPIRY_GRACE`].
+    /// a grace period of two seconds.
     Expired,
     /// The entry was removed; the replica finishes its current work.
     Removed,
