--- a/crates/core/src/directory/replica_view.rs
+++ b/crates/core/src/directory/replica_view.rs
@@ -11,7 +11,7 @@
 use crate::LoadShare;
 use crate::LoadShares;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Replica;
 use crate::RequestId;
 use crate::ZoneId;
@@ -72,7 +72,7 @@
     /// The life of that engine when it was chosen.
     pub backup_life: Option<LifeId>,
     /// What it asked for.
-    pub ask: PlacementAsk,
+    pub ask: PlacementRequest,
     /// Tokens that came out.
     pub generated: u32,
     /// Whether its first event is there.
@@ -134,7 +134,7 @@
     /// Traits of the engines, if they are engines.
     pub engine: Option<&'a EngineTraits>,
     /// The request.
-    pub ask: &'a PlacementAsk,
+    pub ask: &'a PlacementRequest,
     /// How much longer the replica is cold.
     pub cold_for: Duration,
     /// A number from 0 to 1 for the random part.
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -9,19 +9,18 @@
 use rand_pcg::Pcg32;
 
 use crate::BackendId;
-use crate::Belief;
 use crate::ConfigVersion;
 use crate::EvacuationChange;
 use crate::FailurePause;
 use crate::GatewayConfig;
-use crate::GatewayTerms;
+use crate::GatewayParameters;
 use crate::InstanceId;
 use crate::LoadShares;
 use crate::Moving;
 use crate::Now;
 use crate::OwnRun;
 use crate::PeerLoads;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::ProvenContents;
 use crate::Ranking;
 use crate::Refusal;
@@ -34,37 +33,38 @@
 use crate::RouteTable;
 use crate::RunEnd;
 use crate::ServerLimits;
+use crate::ServerView;
 use crate::Suspicions;
 use crate::ToldLoads;
 use crate::ZoneDigest;
 use crate::ZoneEvacuations;
 use crate::own_shares;
 
-mod carrying;
 mod cold;
+mod crash_attribution;
 mod engine_watch;
-mod evacuating;
+mod evacuation;
+mod failover;
+mod incarnations;
 mod limits;
-mod listing;
-mod lives;
 mod notices;
 mod ranking;
-mod suspecting;
+mod server_list;
 
 pub use engine_watch::EngineChecks;
-pub use notices::SendStops;
+pub use notices::SendRestrictions;
 
 use cold::ColdSends;
+use crash_attribution::BrokenRuns;
 use engine_watch::EngineWatch;
-use notices::Rests;
-use suspecting::BrokenRuns;
+use notices::ServerBackoffs;
 
 /// Advice to a caller when every replica is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Advice to a caller when no replica is known: the time in which a lost list
 /// is read again.
-const NOTHING_THERE_RETRY_AFTER: Duration = Duration::from_secs(1);
+const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What became of an offered configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -88,7 +88,7 @@
 
 /// What a tick led to.
 #[derive(Clone, Debug, Default)]
-pub struct Ticked {
+pub struct TickOutcome {
     /// Sessions that must move.
     pub evacuations: Vec<Evacuation>,
     /// Peers that fell silent.
@@ -100,7 +100,7 @@
 /// The decisions of the gateway side: a function of events, time and a seed.
 #[derive(Debug)]
 pub struct GatewayControl {
-    terms: GatewayTerms,
+    parameters: GatewayParameters,
     table: Option<Arc<RouteTable>>,
     list: ReplicaList,
     pauses: BTreeMap<BackendId, FailurePause>,
@@ -108,11 +108,11 @@
     peers: PeerLoads,
     budget: RetryBudget,
     random: Pcg32,
-    list_is_lost: bool,
+    is_list_stale: bool,
     watch: EngineWatch,
     evacuations: ZoneEvacuations,
     cold_sends: ColdSends,
-    rests: Rests,
+    rests: ServerBackoffs,
     limits: ServerLimits,
     broken_runs: BrokenRuns,
     suspicions: Suspicions,
@@ -122,39 +122,39 @@
 
 impl GatewayControl {
     /// The state at the start of a process.
-    pub fn new(terms: GatewayTerms) -> Self {
-        let random = Pcg32::seed_from_u64(terms.seed);
+    pub fn new(parameters: GatewayParameters) -> Self {
+        let random = Pcg32::seed_from_u64(parameters.seed);
         let mut control = GatewayControl {
             table: None,
             list: ReplicaList::default(),
             pauses: BTreeMap::new(),
             runs: HashMap::new(),
-            peers: PeerLoads::new(terms.zone.clone()),
-            budget: RetryBudget::with_terms(terms.retry_ratio, 0.0),
+            peers: PeerLoads::new(parameters.zone.clone()),
+            budget: RetryBudget::with_terms(parameters.retry_ratio, 0.0),
             random,
-            list_is_lost: false,
+            is_list_stale: false,
             watch: EngineWatch::default(),
             evacuations: ZoneEvacuations::default(),
             cold_sends: ColdSends::default(),
-            rests: Rests::default(),
+            rests: ServerBackoffs::default(),
             limits: ServerLimits::default(),
             broken_runs: BrokenRuns::default(),
             suspicions: Suspicions::default(),
             proven: ProvenContents::default(),
             orphaned: Vec::new(),
-            terms,
+            parameters,
         };
         control.share_budget();
         control
     }
 
     /// Takes other settings; the name and the zone of an instance stay.
-    pub fn set_terms(&mut self, terms: GatewayTerms) {
-        self.budget.set_per_request(terms.retry_ratio);
-        self.terms = GatewayTerms {
-            instance: self.terms.instance.clone(),
-            zone: self.terms.zone.clone(),
-            ..terms
+    pub fn set_terms(&mut self, parameters: GatewayParameters) {
+        self.budget.set_per_request(parameters.retry_ratio);
+        self.parameters = GatewayParameters {
+            instance: self.parameters.instance.clone(),
+            zone: self.parameters.zone.clone(),
+            ..parameters
         };
         self.share_budget();
     }
@@ -183,7 +183,7 @@
     }
 
     /// Notes what a peer tells of the load of the replicas.
-    pub fn hear_peer(&mut self, now: Now, told: ToldLoads) {
+    pub fn apply_peer_load(&mut self, now: Now, told: ToldLoads) {
         self.peers.hear(now, told);
         self.share_budget();
     }
@@ -200,18 +200,18 @@
     }
 
     /// Lets time pass: forgets silent peers and lapsed entries.
-    pub fn tick(&mut self, now: Now) -> Ticked {
+    pub fn tick(&mut self, now: Now) -> TickOutcome {
         let silent = self.peers.expire(now);
         let gone = self.list.expire(now);
         let mut evacuations = match gone.is_empty() {
             true => Vec::new(),
             false => self.replicas_changed(now),
         };
-        evacuations.extend(self.seek_again(now));
+        evacuations.extend(self.retry_moves(now));
         self.suspicions.expire(now);
-        self.forget_rests(now);
+        self.forget_backoffs(now);
         self.forget_limits(now);
-        Ticked {
+        TickOutcome {
             evacuations,
             silent,
             ended_evacuations: self.evacuations.expire(now),
@@ -223,13 +223,13 @@
     /// # Errors
     ///
     /// A refusal; nothing was sent.
-    pub fn place(&mut self, now: Now, ask: PlacementAsk) -> Result<Ranking, Refusal> {
+    pub fn place(&mut self, now: Now, ask: PlacementRequest) -> Result<Ranking, Refusal> {
         self.check_quarantine(now, ask.fingerprint)?;
         let scores = self.scores(now, &ask, None);
         if scores.is_empty() {
             return Err(self.nothing_takes(now, &ask));
         }
-        let limit = self.terms.memory_limit;
+        let limit = self.parameters.memory_limit;
         let fitting: Vec<ReplicaScore> = scores.into_iter().filter(|s| s.memory <= limit).collect();
         if fitting.is_empty() {
             return Err(Refusal::new(
@@ -238,11 +238,11 @@
                 format!("the engines of {} have no memory left", ask.service),
             ));
         }
-        let (fitting, passed_over) = self.pass_over_limited(now, fitting);
+        let (fitting, passed_over) = self.skip_limited(now, fitting);
         let Some(first) = fitting.first() else {
             return Err(self.all_limited(now, &ask, &passed_over));
         };
-        let belief = Belief {
+        let belief = ServerView {
             requests: first.load.requests,
             memory: first.memory,
             instances: self.peers.count(),
@@ -308,7 +308,7 @@
         self.rests.served(request);
         let had_begun = std::mem::replace(&mut run.has_begun, true);
         run.begun_at.get_or_insert(now);
-        let is_proof = !run.is_proven && run.went_well(now);
+        let is_proof = !run.is_proven && run.has_run_well(now);
         run.is_proven |= is_proof;
         let fingerprint = run.ask.fingerprint;
         if let Some(pause) = self.pauses.get_mut(&run.replica) {
@@ -359,7 +359,8 @@
     /// off from the others count on no more than that.
     fn share_budget(&mut self) {
         let known = u32::try_from(self.peers.count() + 1).unwrap_or(u32::MAX);
-        let sharers = f64::from(known.max(self.terms.least_sharers));
-        self.budget.set_max_saved(self.terms.retry_extra / sharers);
+        let sharers = f64::from(known.max(self.parameters.min_sharers));
+        self.budget
+            .set_max_saved(self.parameters.retry_extra / sharers);
     }
 }
--- a/crates/core/src/gateway/gateway_control/suspecting.rs
+++ b/crates/core/src/gateway/gateway_control/crash_attribution.rs
@@ -22,10 +22,10 @@
 
 /// How long a broken run waits for a word that its server has ended: an entry goes after
 /// three heartbeats of 1.2 s, or changes when the server is back after some seconds.
-const UNCONFIRMED_FOR: Duration = Duration::from_secs(10);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Broken runs that wait for it: all of an instance's when an availability zone goes.
-const MOST_UNCONFIRMED: usize = 1_024;
+const MAX_UNCONFIRMED: usize = 1_024;
 
 /// Time in which a request that is sent as a probe should end or go on well.
 const PROBE: Duration = Duration::from_secs(10);
@@ -50,11 +50,11 @@
 impl GatewayControl {
     /// Notes that the run of a request broke off or fell silent at a replica. Not when the
     /// replica was leaving, or the run had gone well for a while.
-    pub fn broke_off(&mut self, now: Now, request: &str, replica: &Replica) {
+    pub fn note_broken_run(&mut self, now: Now, request: &str, replica: &Replica) {
         let Some(run) = self.runs.get(request) else {
             return;
         };
-        if run.went_well(now) {
+        if run.has_run_well(now) {
             return;
         }
         let broken = BrokenRun {
@@ -75,7 +75,7 @@
         let waits = |known: &BrokenRun| {
             (known.fingerprint, known.life) == (broken.fingerprint, broken.life)
         };
-        if waiting.len() < MOST_UNCONFIRMED && !waiting.iter().any(waits) {
+        if waiting.len() < MAX_UNCONFIRMED && !waiting.iter().any(waits) {
             self.broken_runs.unconfirmed.push(broken);
         }
     }
@@ -99,7 +99,7 @@
         let unconfirmed = std::mem::take(&mut self.broken_runs.unconfirmed);
         let (ended, open): (Vec<BrokenRun>, Vec<BrokenRun>) = unconfirmed
             .into_iter()
-            .filter(|broken| now.saturating_sub(broken.at) < UNCONFIRMED_FOR)
+            .filter(|broken| now.saturating_sub(broken.at) < CONFIRMATION_TIMEOUT)
             .partition(|broken| is_confirmed(self, broken));
         self.broken_runs.unconfirmed = open;
         for broken in &ended {
@@ -118,7 +118,7 @@
     }
 
     /// Takes what a peer suspects.
-    pub fn hear_suspects(&mut self, now: Now, told: &[ToldSuspect]) {
+    pub fn apply_peer_suspects(&mut self, now: Now, told: &[ToldSuspect]) {
         for told in told {
             let proven_at = self.proven.proven_at(told.fingerprint);
             self.suspicions.hear(now, proven_at, told);
@@ -126,7 +126,7 @@
     }
 
     /// What the others should know of suspicions now.
-    pub fn told_suspects(&mut self, now: Now) -> Vec<ToldSuspect> {
+    pub fn advertised_suspects(&mut self, now: Now) -> Vec<ToldSuspect> {
         self.suspicions.told(now)
     }
 
@@ -137,7 +137,7 @@
 
     /// Sessions of this instance with a content that have not begun: they wait at their
     /// engines, and would end these as well.
-    pub fn waiting_with(&self, fingerprint: Fingerprint) -> Vec<RequestId> {
+    pub fn unstarted_with(&self, fingerprint: Fingerprint) -> Vec<RequestId> {
         let runs = self.runs.iter();
         let waits = runs.filter(|(_, run)| {
             run.ask.fingerprint == fingerprint && !run.has_begun && !run.is_proven
@@ -162,7 +162,7 @@
     }
 
     /// Whether a request under way may be sent to a further replica.
-    pub fn may_go_on(&self, request: &str) -> bool {
+    pub fn may_resend(&self, request: &str) -> bool {
         let Some(run) = self.runs.get(request) else {
             return true;
         };
@@ -191,8 +191,8 @@
     /// on one, and one that is cut off from the other zones probes none.
     fn probes(&self, fingerprint: Fingerprint) -> bool {
         let topic = format!("{:032x}", fingerprint.content);
-        let own = &self.terms.zone;
-        let zones = self.terms.regions.keys().map(String::as_str);
+        let own = &self.parameters.zone;
+        let zones = self.parameters.regions.keys().map(String::as_str);
         let others = zones.clone().filter(|zone| *zone != own);
         let heard = others.clone().filter(|zone| self.peers.knows_zone(zone));
         if heard.count() * 2 < others.count() {
@@ -202,7 +202,7 @@
         if first.is_some_and(|zone| zone != own) {
             return false;
         }
-        let instance = self.terms.instance.as_str();
+        let instance = self.parameters.instance.as_str();
         let names = self.peers.neighbours().map(String::as_str);
         let rank = rendezvous_rank(&topic, names.chain([instance]));
         rank.first() == Some(&instance)
@@ -211,7 +211,7 @@
 
 impl crate::OwnRun {
     /// Whether it has gone on well for a while where it runs, or did so before.
-    pub(super) fn went_well(&self, now: Now) -> bool {
+    pub(super) fn has_run_well(&self, now: Now) -> bool {
         let since = |begun: Now| now.saturating_sub(begun) >= RAN_WELL_AFTER;
         self.is_proven || self.begun_at.is_some_and(since)
     }
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -10,7 +10,7 @@
 use crate::LoadShares;
 use crate::NamedLimit;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Refusal;
 use crate::Replica;
 use crate::ReplicaScore;
@@ -20,7 +20,7 @@
 use crate::ToldLimit;
 
 /// Shortest time to come back that is told: a turn may come sooner, and be another's.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl GatewayControl {
     /// Notes what an answer says of its server's limit.
@@ -39,7 +39,7 @@
     }
 
     /// Notes what a peer tells of servers' limits; returns what has changed.
-    pub fn hear_limits(
+    pub fn apply_peer_limits(
         &mut self,
         now: Now,
         told: Vec<ToldLimit>,
@@ -76,13 +76,13 @@
     }
 
     /// What to tell the others of limits.
-    pub fn told_limits(&mut self, now: Now, is_relay: bool) -> Vec<ToldLimit> {
+    pub fn advertised_limits(&mut self, now: Now, is_relay: bool) -> Vec<ToldLimit> {
         self.limits.told(now, is_relay)
     }
 
     /// What this instance has put on the replicas and wants of limited ones, as the others
     /// are told it.
-    pub fn told_shares(&mut self, now: Now) -> LoadShares {
+    pub fn advertised_shares(&mut self, now: Now) -> LoadShares {
         let mut shares = self.shares();
         for (id, wanted) in self.limits.tell_wanted(now) {
             shares.entry(id).or_default().wanted = wanted;
@@ -91,13 +91,13 @@
     }
 
     /// Whether the others should hear at once what this instance wants of limited servers.
-    pub fn wants_are_news(&self, now: Now) -> bool {
+    pub fn is_demand_update(&self, now: Now) -> bool {
         self.limits.is_news(now)
     }
 
     /// Leaves out limited replicas that are ranked before the first that may be sent a
     /// request now. Returns the others, and those left out.
-    pub(super) fn pass_over_limited(
+    pub(super) fn skip_limited(
         &mut self,
         now: Now,
         ranked: Vec<ReplicaScore>,
@@ -115,14 +115,19 @@
     }
 
     /// Moves limited replicas behind the others: what is placed there may have to wait.
-    pub(super) fn unlimited_first(&self, replicas: &mut [Replica]) {
+    pub(super) fn sort_limited_last(&self, replicas: &mut [Replica]) {
         if !self.limits.is_empty() {
             replicas.sort_by_key(|replica| self.limits.has(replica.life()));
         }
     }
 
     /// Why nobody takes a request, when all who could are limited.
-    pub(super) fn all_limited(&mut self, now: Now, ask: &PlacementAsk, all: &[Replica]) -> Refusal {
+    pub(super) fn all_limited(
+        &mut self,
+        now: Now,
+        ask: &PlacementRequest,
+        all: &[Replica],
+    ) -> Refusal {
         let turns = all.iter().filter_map(|replica| {
             let left = self.turn_in(now, replica)?;
             Some((left, replica.life()))
@@ -131,8 +136,8 @@
         if let Some((left, life)) = first {
             self.limits.await_turn(now, life, left);
         }
-        let left = first.map_or(SHORTEST_WAIT, |(left, _)| left);
-        Refusal::limited(&ask.service, left.max(SHORTEST_WAIT))
+        let left = first.map_or(MIN_RETRY_AFTER, |(left, _)| left);
+        Refusal::limited(&ask.service, left.max(MIN_RETRY_AFTER))
     }
 
     /// Time until this instance may send a limited replica one more request than others were
--- a/crates/core/src/gateway/gateway_control/ranking.rs
+++ b/crates/core/src/gateway/gateway_control/ranking.rs
@@ -7,7 +7,7 @@
 use super::GatewayControl;
 use crate::LoadShare;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Replica;
 use crate::ReplicaScore;
 use crate::ScoreContext;
@@ -24,7 +24,7 @@
     pub(super) fn ranked(&self, scores: Vec<ReplicaScore>) -> Vec<Replica> {
         let scores = scores.into_iter();
         let mut replicas: Vec<Replica> = scores.map(|score| score.replica).collect();
-        let is_near = |replica: &Replica| replica.availability_zone == self.terms.zone;
+        let is_near = |replica: &Replica| replica.availability_zone == self.parameters.zone;
         let near = replicas.iter().position(is_near);
         if let Some(place) = near.filter(|place| *place > 1) {
             let replica = replicas.remove(place);
@@ -39,18 +39,18 @@
     pub(super) fn scores(
         &mut self,
         now: Now,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         besides: Option<&str>,
     ) -> Vec<ReplicaScore> {
-        let zone = self.terms.zone.clone();
-        self.scores_seen_from(now, ask, besides, &zone)
+        let zone = self.parameters.zone.clone();
+        self.scores_from_zone(now, ask, besides, &zone)
     }
 
     /// The same seen from a zone.
-    pub(super) fn scores_seen_from(
+    pub(super) fn scores_from_zone(
         &mut self,
         now: Now,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         besides: Option<&str>,
         zone: &str,
     ) -> Vec<ReplicaScore> {
@@ -68,7 +68,7 @@
             .serving(now)
             .filter(|replica| replica.service == ask.service)
             .filter(|replica| Some(replica.id.as_str()) != besides)
-            .filter(|replica| self.is_open(replica) && self.is_at_home(replica, ask))
+            .filter(|replica| self.is_open(replica) && self.is_in_home_region(replica, ask))
             .filter(|replica| self.has_rested(now, replica))
             .filter(|replica| self.may_send_cold(now, replica, service.cold_per_s))
             .cloned()
--- a/crates/core/src/gateway/gateway_control/listing.rs
+++ b/crates/core/src/gateway/gateway_control/server_list.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes the list of another instance; returns what sessions must do.
-    pub fn hear_list(&mut self, now: Now, told: ToldList) -> Vec<Evacuation> {
+    pub fn apply_peer_list(&mut self, now: Now, told: ToldList) -> Vec<Evacuation> {
         self.list.hear(now, told);
         self.replicas_changed(now)
     }
@@ -54,8 +54,8 @@
 
     /// Notes whether nobody has confirmed the list for long; returns whether that
     /// is news.
-    pub fn list_lost(&mut self, is_lost: bool) -> bool {
-        std::mem::replace(&mut self.list_is_lost, is_lost) != is_lost
+    pub fn set_list_stale(&mut self, is_lost: bool) -> bool {
+        std::mem::replace(&mut self.is_list_stale, is_lost) != is_lost
     }
 
     /// Notes when the platform answered again after an outage.
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -51,7 +51,7 @@
 }
 
 /// Advice to a caller when nothing is there that could serve it.
-const NOTHING_THERE_RETRY_AFTER: Duration = Duration::from_secs(2);
+const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Longest advice to a caller whose request is quarantined: past the patience of any.
 const LONGEST_QUARANTINE_ADVICE: Duration = Duration::from_secs(60);
@@ -84,7 +84,7 @@
     pub fn not_ready() -> Self {
         Refusal::new(
             RefusalKind::NotReady,
-            NOTHING_THERE_RETRY_AFTER,
+            NO_BACKEND_RETRY_AFTER,
             "no configuration that names the workspace is in force here",
         )
     }
@@ -121,7 +121,7 @@
     pub fn no_backend(model: &str) -> Self {
         Refusal::new(
             RefusalKind::NoBackend,
-            NOTHING_THERE_RETRY_AFTER,
+            NO_BACKEND_RETRY_AFTER,
             format!("no backend server that serves {model} is available"),
         )
     }
--- a/crates/core/tests/gateway_evacuation.rs
+++ b/crates/core/tests/gateway_evacuation.rs
@@ -15,7 +15,7 @@
 use iristhread_core::EvacuationChange;
 use iristhread_core::EvacuationNews;
 use iristhread_core::GatewayControl;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
 use iristhread_core::RequestClass;
@@ -65,8 +65,8 @@
     control
 }
 
-fn ask_of(service: &str, request: &str) -> PlacementAsk {
-    PlacementAsk {
+fn ask_of(service: &str, request: &str) -> PlacementRequest {
+    PlacementRequest {
         service: service.to_owned(),
         ..ask(request)
     }
@@ -125,7 +125,7 @@
     let copy = ranking.backup.unwrap();
     let zone = zone_of(&control, &copy.id);
     control.offer_evacuations(NOW, whole(2, &[&zone])).unwrap();
-    assert!(control.carry(NOW, "r").is_none());
+    assert!(control.fail_over(NOW, "r").is_none());
 }
 
 #[test]
@@ -151,7 +151,7 @@
         control.place(NOW, ask(&format!("r{number}"))).unwrap();
     }
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
-    let target = control.place_again(NOW, "r0").unwrap();
+    let target = control.restart_stream(NOW, "r0").unwrap();
     assert_eq!(target.replica.availability_zone, "z2");
 }
 
@@ -243,7 +243,7 @@
 fn a_call_that_may_be_repeated_stays_out_of_it() {
     let mut control = two_zones();
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
-    let call = PlacementAsk {
+    let call = PlacementRequest {
         class: RequestClass::Repeatable,
         ..ask_of("orders", "c")
     };
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -233,7 +233,7 @@
         let mut control = control_with(&["e1", "e2", "e3"]);
         for other in (0..3).filter(|other| *other != number) {
             let name = format!("i{other}");
-            control.hear_peer(ms(0), told(&name, 1, BTreeMap::new()));
+            control.apply_peer_load(ms(0), told(&name, 1, BTreeMap::new()));
         }
         for request in 0..20 {
             let request = format!("r{request}");
--- a/crates/core/tests/limit_scene/mod.rs
+++ b/crates/core/tests/limit_scene/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::HeardNotice;
 use iristhread_core::NamedLimit;
 use iristhread_core::Now;
@@ -104,19 +104,19 @@
         for from in 0..self.instances.len() {
             let control = &mut self.instances[from];
             control.tick(now);
-            let limits = control.told_limits(now, false);
+            let limits = control.advertised_limits(now, false);
             let loads = ToldLoads {
                 instance: format!("i{from}"),
                 incarnation: "life".to_owned(),
                 sequence: self.now_ms,
                 zone: "z1".to_owned(),
-                shares: control.told_shares(now),
+                shares: control.advertised_shares(now),
                 digest: None,
             };
             for to in 0..self.instances.len() {
                 if to != from && (!self.is_cut || to % 2 == from % 2) {
-                    self.instances[to].hear_peer(now, loads.clone());
-                    self.instances[to].hear_limits(now, limits.clone());
+                    self.instances[to].apply_peer_load(now, loads.clone());
+                    self.instances[to].apply_peer_limits(now, limits.clone());
                 }
             }
         }
@@ -174,7 +174,7 @@
 }
 
 pub fn instance(number: usize, servers: &[Replica]) -> GatewayControl {
-    let mut control = GatewayControl::new(GatewayTerms {
+    let mut control = GatewayControl::new(GatewayParameters {
         instance: format!("i{number}"),
         seed: number as u64,
         ..terms()
--- a/crates/daemon/src/engines/notices.rs
+++ b/crates/daemon/src/engines/notices.rs
@@ -9,7 +9,7 @@
 use iristhread_core::Now;
 use iristhread_core::Replica;
 use iristhread_core::RequestRate;
-use iristhread_core::SendStops;
+use iristhread_core::SendRestrictions;
 use iristhread_core::ServerNotice;
 use slog::Logger;
 use slog::info;
@@ -75,7 +75,7 @@
     /// Decisions.
     pub control: GatewayHandle,
     /// What the decisions made of them.
-    pub stops: watch::Receiver<Arc<SendStops>>,
+    pub stops: watch::Receiver<Arc<SendRestrictions>>,
     /// Clocks.
     pub clock: Clock,
     /// Figures for operators.
@@ -144,7 +144,7 @@
             return None;
         }
         let life = replica.life();
-        if let Some(until) = stops.rests_until(self.clock.now(), life) {
+        if let Some(until) = stops.backoff_until(self.clock.now(), life) {
             return Some(SendStop::Resting(until));
         }
         // A session that can go on nowhere else is not lost for a server's leaving.
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use iristhread_core::BackendId;
-use iristhread_core::CarryTarget;
 use iristhread_core::ConfigVersion;
 use iristhread_core::EngineChecks;
 use iristhread_core::EvacuationNews;
+use iristhread_core::FailoverTarget;
 use iristhread_core::GatewayConfig;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::HeardNotice;
 use iristhread_core::KnownVersions;
 use iristhread_core::LoadShares;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::Ranking;
 use iristhread_core::Refusal;
 use iristhread_core::Replica;
@@ -113,7 +113,7 @@
     /// A request wants a backend server.
     Place {
         /// What it asks for.
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         /// Where the session is told of later decisions.
         signals: mpsc::UnboundedSender<SessionSignal>,
         /// The answer.
@@ -166,7 +166,7 @@
         /// The session.
         request: RequestId,
         /// The answer.
-        reply: oneshot::Sender<Option<CarryTarget>>,
+        reply: oneshot::Sender<Option<FailoverTarget>>,
     },
     /// The engine of a stream that may be run again broke off, and there is no copy:
     /// where is it run from its last event on?
@@ -174,7 +174,7 @@
         /// The session.
         request: RequestId,
         /// The answer; `None` when nothing takes it or the retry budget is spent.
-        reply: oneshot::Sender<Option<CarryTarget>>,
+        reply: oneshot::Sender<Option<FailoverTarget>>,
     },
     /// A session could not go on at its copy, and does not run there.
     NotCarried {
@@ -190,7 +190,7 @@
         /// Where it runs now.
         replica: Replica,
         /// The answer.
-        reply: oneshot::Sender<Option<CarryTarget>>,
+        reply: oneshot::Sender<Option<FailoverTarget>>,
     },
     /// A session could not be moved to an engine: where else?
     MoveFailed {
@@ -247,7 +247,7 @@
     /// When should a caller come back whose request no replica took?
     ReturnAfter {
         /// What it asked for.
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         /// When one of them takes requests now.
         otherwise: Duration,
         /// The answer.
@@ -320,7 +320,7 @@
     /// The settings have changed.
     Terms {
         /// What the decisions need of them.
-        terms: Box<GatewayTerms>,
+        terms: Box<GatewayParameters>,
     },
     /// Whether nobody has confirmed the list of replicas for long.
     ListLost {
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -119,12 +119,12 @@
 
     /// What is sent checks this before each send.
     pub(super) fn tell_stops(&mut self) {
-        let version = self.control.stops_version();
-        if version == self.stops_version {
+        let version = self.control.restrictions_version();
+        if version == self.restrictions_version {
             return;
         }
-        self.stops_version = version;
-        let stops = self.control.send_stops(self.clock.now());
+        self.restrictions_version = version;
+        let stops = self.control.send_restrictions(self.clock.now());
         self.stops.send_replace(Arc::new(stops));
     }
 
@@ -165,7 +165,7 @@
         info!(self.log, "backend server can't be reached";
             "backend_server" => &server.id,
             "list_revision" => %self.control.list().revision());
-        self.takes_no_connection(&server.id);
+        self.refused_connection(&server.id);
         self.control.unreachable(self.clock.now(), &server.id);
     }
 
@@ -183,22 +183,22 @@
             info!(self.log, "engine of a request has started anew"; "request" => &request);
             if let Some(signals) = self.signals.get(&request) {
                 // It may have ended in the meantime.
-                let _ = signals.send(SessionSignal::EngineBegunAnew);
+                let _ = signals.send(SessionSignal::EngineRestarted);
             }
         }
     }
 
-    pub(super) fn takes_no_connection(&mut self, replica: &str) {
+    pub(super) fn refused_connection(&mut self, replica: &str) {
         let now = self.clock.now();
-        if self.control.takes_no_connection(now, replica) {
+        if self.control.refused_connection(now, replica) {
             info!(self.log, "others are told that a backend server can't be reached";
                 "backend_server" => replica);
             self.news.notify_one();
         }
     }
 
-    pub(super) fn list_lost(&mut self, is_lost: bool) {
-        if self.control.list_lost(is_lost) {
+    pub(super) fn set_list_stale(&mut self, is_lost: bool) {
+        if self.control.set_list_stale(is_lost) {
             let message = match is_lost {
                 true => "list of backend servers is no longer confirmed",
                 false => "list of backend servers is confirmed again",
@@ -273,7 +273,7 @@
 
     /// What waits at engines would end them as well.
     fn withdraw(&self, fingerprint: Fingerprint) {
-        for request in self.control.waiting_with(fingerprint) {
+        for request in self.control.unstarted_with(fingerprint) {
             if let Some(signals) = self.signals.get(&request) {
                 // It may have ended in the meantime, and calls take no signals.
                 let _ = signals.send(SessionSignal::Withdraw);
