--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Decisions of the gateway: which backend server, in which order, for how long, with which copies.
+//! Gateway decisions: placement, ranking, backups, failover and retry limits for each request.
 
 pub(crate) mod engine_priority;
 pub(crate) mod event_order;
--- a/crates/core/src/gateway/event_order.rs
+++ b/crates/core/src/gateway/event_order.rs
@@ -1,17 +1,17 @@
-//! The order of a stream's events, over engines that continue each other.
+//! Checks the order of a stream's events, also across engines after a failover.
 
-/// What to do with an event.
+/// Decision about an event.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EventVerdict {
-    /// It is the next one: deliver it.
+    /// The event is the next in order: deliver it.
     Deliver,
-    /// The caller has it already.
+    /// The event was delivered before.
     Repeated,
-    /// Events before it are missing.
+    /// Events before this one are missing.
     Missing,
 }
 
-/// How much ids grow from event to event, as far as seen.
+/// Difference between the IDs of consecutive events, as observed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 enum Stride {
     #[default]
@@ -20,9 +20,10 @@
     Varies,
 }
 
-/// Decides about events by their ids, which rise. Engines number a stream's
-/// events alike, so an engine that continues has to begin with the next id;
-/// where ids have grown unevenly, only repeats can be told.
+/// Detects repeated and missing events by their increasing IDs.
+///
+/// Engines number the events of a stream identically, so an engine that continues a stream must
+/// start with the next ID. If the IDs increase by varying steps, only repeats can be detected.
 #[derive(Clone, Debug, Default)]
 pub struct EventOrder {
     last: Option<u64>,
@@ -31,8 +32,8 @@
 }
 
 impl EventOrder {
-    /// The order of a stream whose caller holds the events up to an id; 0 when it
-    /// holds none.
+    /// Creates the state for a stream whose caller has received the events up to `last_event`;
+    /// 0 if it has received none.
     pub fn after(last_event: u64) -> Self {
         EventOrder {
             last: (last_event > 0).then_some(last_event),
@@ -41,17 +42,17 @@
         }
     }
 
-    /// Notes that another engine continues the stream.
+    /// Records that another engine continues the stream.
     pub fn resume(&mut self) {
         self.is_resumed = true;
     }
 
-    /// Id of the last event delivered, 0 for none.
+    /// Returns the ID of the last delivered event, 0 if there is none.
     pub fn last(&self) -> u64 {
         self.last.unwrap_or(0)
     }
 
-    /// Decides about an event; one without an id can only be the next.
+    /// Decides about an event; an event without an ID is taken as the next in order.
     pub fn next(&mut self, id: Option<u64>) -> EventVerdict {
         let Some(id) = id else {
             return EventVerdict::Deliver;
@@ -75,8 +76,8 @@
         EventVerdict::Deliver
     }
 
-    /// After a single event nothing is known of the stride; ids then usually
-    /// count events.
+    /// Returns whether the next ID may be larger by `grown`. After a single event the stride is
+    /// unknown, and any step is accepted; IDs then usually count events.
     fn may_grow_by(&self, grown: u64) -> bool {
         match self.stride {
             Stride::Steady(stride) => grown == stride,
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -1,4 +1,4 @@
-//! All decisions of the gateway side of one instance.
+//! Decision logic of the gateway of one instance.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -59,45 +59,45 @@
 use engine_watch::EngineWatch;
 use notices::ServerBackoffs;
 
-/// Advice to a caller when every replica is full.
+/// Retry-After for callers when every replica is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Advice to a caller when no replica is known: the time in which a lost list
-/// is read again.
+/// Retry-After for callers when no replica is known: the time within which a stale list is read
+/// again.
 const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What became of an offered configuration.
+/// Result of offering a configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ConfigVerdict {
-    /// It is in force now.
+    /// The configuration is in force now.
     InForce,
-    /// Not newer than what is in force.
+    /// The configuration is not newer than the one in force.
     Stale,
-    /// It failed its check; what was in force stays so.
+    /// Validation failed with these errors; the previous configuration stays in force.
     Refused(Vec<String>),
 }
 
-/// What has to be done for a session under way.
+/// The move of a session in progress to another engine.
 #[derive(Clone, Debug)]
 pub struct Evacuation {
-    /// The session.
+    /// ID of the request of the session.
     pub request: RequestId,
-    /// Where it should move.
+    /// Engine to move to.
     pub target: Replica,
 }
 
-/// What a tick led to.
+/// Result of a tick.
 #[derive(Clone, Debug, Default)]
 pub struct TickOutcome {
     /// Sessions that must move.
     pub evacuations: Vec<Evacuation>,
-    /// Peers that fell silent.
+    /// Peers whose heartbeats have stopped.
     pub silent: Vec<InstanceId>,
-    /// Evacuations that ended since nobody ordered them again.
+    /// Zone evacuations that expired because they were not renewed.
     pub ended_evacuations: Vec<EvacuationChange>,
 }
 
-/// The decisions of the gateway side: a function of events, time and a seed.
+/// Decision logic of the gateway: deterministic for given events, times and seed.
 #[derive(Debug)]
 pub struct GatewayControl {
     parameters: GatewayParameters,
@@ -121,7 +121,7 @@
 }
 
 impl GatewayControl {
-    /// The state at the start of a process.
+    /// Creates the state at process start.
     pub fn new(parameters: GatewayParameters) -> Self {
         let random = Pcg32::seed_from_u64(parameters.seed);
         let mut control = GatewayControl {
@@ -148,7 +148,7 @@
         control
     }
 
-    /// Takes other settings; the name and the zone of an instance stay.
+    /// Replaces the parameters, except for the name and the zone of the instance.
     pub fn set_terms(&mut self, parameters: GatewayParameters) {
         self.budget.set_per_request(parameters.retry_ratio);
         self.parameters = GatewayParameters {
@@ -159,7 +159,7 @@
         self.share_budget();
     }
 
-    /// Takes a configuration if it is newer and sound.
+    /// Applies a configuration if it is newer and valid.
     pub fn offer_config(&mut self, config: Arc<GatewayConfig>) -> ConfigVerdict {
         if config.version <= self.config_version() {
             return ConfigVerdict::Stale;
@@ -172,34 +172,34 @@
         ConfigVerdict::InForce
     }
 
-    /// Version in force, 0 for none.
+    /// Returns the version of the configuration in force, 0 if there is none.
     pub fn config_version(&self) -> ConfigVersion {
         self.table.as_ref().map_or(0, |table| table.version())
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// Notes what a peer tells of the load of the replicas.
+    /// Applies the load of the replicas that a peer advertises.
     pub fn apply_peer_load(&mut self, now: Now, told: ToldLoads) {
         self.peers.hear(now, told);
         self.share_budget();
     }
 
-    /// What the instances of the own zone have put on the replicas, for the other zones;
-    /// `own` is what this one tells.
+    /// Returns the total load that the instances of the local zone put on the replicas, for
+    /// other zones; `own` is the load that this instance advertises.
     pub fn digest(&self, own: &LoadShares) -> ZoneDigest {
         self.peers.digest(own)
     }
 
-    /// What this instance has put on the replicas.
+    /// Returns the load that this instance puts on the replicas.
     pub fn shares(&self) -> LoadShares {
         own_shares(&self.runs)
     }
 
-    /// Lets time pass: forgets silent peers and lapsed entries.
+    /// Removes silent peers and expired entries and retries pending moves.
     pub fn tick(&mut self, now: Now) -> TickOutcome {
         let silent = self.peers.expire(now);
         let gone = self.list.expire(now);
@@ -222,12 +222,12 @@
     ///
     /// # Errors
     ///
-    /// A refusal; nothing was sent.
+    /// Returns a refusal if no replica can take the request; nothing was counted as sent.
     pub fn place(&mut self, now: Now, ask: PlacementRequest) -> Result<Ranking, Refusal> {
         self.check_quarantine(now, ask.fingerprint)?;
         let scores = self.scores(now, &ask, None);
         if scores.is_empty() {
-            return Err(self.nothing_takes(now, &ask));
+            return Err(self.no_replica_refusal(now, &ask));
         }
         let limit = self.parameters.memory_limit;
         let fitting: Vec<ReplicaScore> = scores.into_iter().filter(|s| s.memory <= limit).collect();
@@ -242,7 +242,7 @@
         let Some(first) = fitting.first() else {
             return Err(self.all_limited(now, &ask, &passed_over));
         };
-        let belief = ServerView {
+        let server_view = ServerView {
             requests: first.load.requests,
             memory: first.memory,
             instances: self.peers.count(),
@@ -272,13 +272,12 @@
         Ok(Ranking {
             replicas: self.ranked(fitting),
             backup,
-            belief,
+            server_view,
             passed_over: limits::names(&passed_over),
         })
     }
 
-    /// Counts a request as sent to another replica than the first of its
-    /// ranking.
+    /// Counts a request as sent to a replica other than the first of its ranking.
     pub fn moved(&mut self, now: Now, request: &str, replica: BackendId) {
         self.note_send(now, &replica);
         let life = self.list.replica(&replica).map(Replica::life);
@@ -294,12 +293,13 @@
         }
     }
 
-    /// Spends a further send of a service, if one is left.
+    /// Takes one retry from the budget of a service; returns whether one was left.
     pub fn spend_retry(&mut self, service: &str) -> bool {
         self.budget.spend(&[service])
     }
 
-    /// Notes how far a session is; returns whether it has just begun where it runs.
+    /// Records the progress of a session in generated tokens; returns whether this is the first
+    /// progress on its current replica.
     pub fn progress(&mut self, now: Now, request: &str, generated: u32) -> bool {
         let Some(run) = self.runs.get_mut(request) else {
             return false;
@@ -320,12 +320,12 @@
         !had_begun
     }
 
-    /// Notes that a replica failed a try of a request that goes on elsewhere.
+    /// Records that an attempt failed on a replica while the request continues elsewhere.
     pub fn failed(&mut self, now: Now, replica: &str) {
         self.pauses.entry(replica.to_owned()).or_default().fail(now);
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request.
     pub fn ended(&mut self, now: Now, request: &str, end: RunEnd) {
         let Some(run) = self.runs.remove(request) else {
             return;
@@ -345,18 +345,18 @@
         }
     }
 
-    /// Other instances heard lately.
+    /// Returns the number of other instances with recent heartbeats.
     pub fn peers(&self) -> usize {
         self.peers.count()
     }
 
-    /// Requests of this instance under way.
+    /// Returns the number of requests of this instance in progress.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Each instance gets the same part of the extra; instances that are cut
-    /// off from the others count on no more than that.
+    /// Gives each instance an equal part of the additional retries. An instance that is cut off
+    /// from the others divides by `min_sharers`, so it never uses more than its part.
     fn share_budget(&mut self) {
         let known = u32::try_from(self.peers.count() + 1).unwrap_or(u32::MAX);
         let sharers = f64::from(known.max(self.parameters.min_sharers));
--- a/crates/core/src/gateway/gateway_control/cold.rs
+++ b/crates/core/src/gateway/gateway_control/cold.rs
@@ -1,5 +1,5 @@
-//! What instances send to backend servers that are cold: together no more than those
-//! bear, although each decides by itself.
+//! Limits the requests to cold backend servers: the instances together send no more than a cold
+//! server can handle, although each instance decides on its own.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,31 +11,30 @@
 use crate::Replica;
 use crate::rendezvous_rank;
 
-/// Part of what a cold replica bears that the instances hand out among themselves. Two
-/// halves of a fleet that don't hear each other each hand out all of it, and send no
-/// more than it bears.
+/// Fraction of the capacity of a cold replica that the instances share. If a partition splits the
+/// instances in two, each side uses the whole fraction, and both together stay within the capacity.
 const SHARED_FRACTION: f64 = 0.5;
 
-/// When this instance last sent something to each replica that was cold.
+/// Time of the last send of this instance to each cold replica.
 #[derive(Debug, Default)]
 pub(super) struct ColdSends {
     last: BTreeMap<BackendId, Now>,
 }
 
 impl ColdSends {
-    /// Drops what was sent to a replica.
+    /// Removes the record of a replica.
     pub(super) fn forget(&mut self, id: &str) {
         self.last.remove(id);
     }
 }
 
 impl GatewayControl {
-    /// Whether a replica that bears `per_s` requests a second while it is cold may get
-    /// one more of this instance.
+    /// Returns whether this instance may send one more request to a replica that handles `per_s`
+    /// requests per second while it is cold.
     ///
-    /// Each zone that is heard hands out the same share, to as many of its instances, by
-    /// rank, as may each send about once a second: a share for each of 300 instances
-    /// would let all of them send their first in the same second.
+    /// Each live zone gets the same share. The zone divides it among as many of its instances, by
+    /// rank, as can each send about once a second. If each of 300 instances had a share, all of
+    /// them could send their first request in the same second.
     pub(super) fn may_send_cold(&self, now: Now, replica: &Replica, per_s: f64) -> bool {
         if per_s <= 0.0 || self.list.cold_for(now, &replica.id).is_zero() {
             return true;
@@ -47,18 +46,18 @@
         last.is_none_or(|last| now.saturating_sub(*last) >= spacing)
     }
 
-    /// Least time between two sends of this instance to a cold replica, `None` when it
-    /// is not among those of its zone that may.
+    /// Returns the minimum time between two sends of this instance to a cold replica; `None` if
+    /// this instance is not among the senders of its zone.
     fn cold_spacing(&self, replica: &str, per_s: f64) -> Option<Duration> {
         let zone_share = per_s * SHARED_FRACTION / self.sending_zones() as f64;
         let own = self.parameters.instance.as_str();
         let names = self.peers.neighbours().map(String::as_str).chain([own]);
         let rank = rendezvous_rank(replica, names);
         let senders = (zone_share as usize).clamp(1, rank.len().max(1));
-        let place = rank.iter().position(|name| *name == own);
-        let may_send = place.is_none_or(|place| place < senders);
+        let index = rank.iter().position(|name| *name == own);
+        let may_send = index.is_none_or(|index| index < senders);
         let each_per_s = zone_share / senders as f64;
-        // Whole sends in a second, since the bound holds for each second.
+        // Rounded down to whole sends, since the limit applies to each second.
         let each_per_s = if each_per_s < 1.0 {
             each_per_s
         } else {
@@ -75,14 +74,14 @@
         others.count() + 1
     }
 
-    /// Notes that something is sent to a replica.
+    /// Records a send to a replica if it is cold.
     pub(super) fn note_send(&mut self, now: Now, replica: &str) {
         if !self.list.cold_for(now, replica).is_zero() {
             self.cold_sends.last.insert(replica.to_owned(), now);
         }
     }
 
-    /// Drops what is known of replicas that are gone.
+    /// Removes the records of replicas that are no longer listed.
     pub(super) fn forget_cold(&mut self) {
         let list = &self.list;
         let is_listed = |id: &BackendId| list.state(id) != ListedState::Removed;
--- a/crates/core/src/gateway/gateway_control/crash_attribution.rs
+++ b/crates/core/src/gateway/gateway_control/crash_attribution.rs
@@ -1,5 +1,5 @@
-//! Requests that end the backend servers that run them: which ends are attributed to which
-//! request, and what is sent no more.
+//! Attributes crashes of backend servers to the requests that ran there, and stops sending requests
+//! that are suspected to cause them.
 
 use std::time::Duration;
 
@@ -20,17 +20,18 @@
 use crate::Verdict;
 use crate::rendezvous_rank;
 
-/// How long a broken run waits for a word that its server has ended: an entry goes after
-/// three heartbeats of 1.2 s, or changes when the server is back after some seconds.
+/// Time for which a broken run waits for the confirmation that its server has crashed: its entry is
+/// removed after three heartbeats of 1.2 s, or changes when the server restarts some seconds later.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Broken runs that wait for it: all of an instance's when an availability zone goes.
+/// Maximum number of broken runs that wait for confirmation: enough for all runs of an instance
+/// when an availability zone fails.
 const MAX_UNCONFIRMED: usize = 1_024;
 
-/// Time in which a request that is sent as a probe should end or go on well.
+/// Time within which a request that is sent as a probe should end or prove to run well.
 const PROBE: Duration = Duration::from_secs(10);
 
-/// A run that broke off; its server may have ended.
+/// A run whose connection was lost or stalled; its server may have crashed.
 #[derive(Clone, Debug)]
 struct BrokenRun {
     fingerprint: Fingerprint,
@@ -39,17 +40,17 @@
     at: Now,
 }
 
-/// What this instance makes of broken runs.
+/// Broken runs that wait for the confirmation of a crash, and the current probe.
 #[derive(Debug, Default)]
 pub(super) struct BrokenRuns {
     unconfirmed: Vec<BrokenRun>,
-    /// The content that is probed after its quarantine, and until when.
+    /// The fingerprint that is being probed after its quarantine, and the end of the probe.
     probe: Option<(Fingerprint, Now)>,
 }
 
 impl GatewayControl {
-    /// Notes that the run of a request broke off or fell silent at a replica. Not when the
-    /// replica was leaving, or the run had gone well for a while.
+    /// Records that the connection of a run was lost or stalled. The run is ignored if the replica
+    /// was draining or the run had made progress for long enough.
     pub fn note_broken_run(&mut self, now: Now, request: &str, replica: &Replica) {
         let Some(run) = self.runs.get(request) else {
             return;
@@ -65,27 +66,27 @@
         };
         let listed = self.list.replica(&replica.id);
         if listed.is_some_and(|listed| listed.life() != broken.life) {
-            // It is back already.
+            // The replica has restarted already.
             return self.attribute(now, &broken);
         }
         if self.list.state(&replica.id).is_leaving() {
             return;
         }
         let waiting = &self.broken_runs.unconfirmed;
-        let waits = |known: &BrokenRun| {
+        let is_same_run = |known: &BrokenRun| {
             (known.fingerprint, known.life) == (broken.fingerprint, broken.life)
         };
-        if waiting.len() < MAX_UNCONFIRMED && !waiting.iter().any(waits) {
+        if waiting.len() < MAX_UNCONFIRMED && !waiting.iter().any(is_same_run) {
             self.broken_runs.unconfirmed.push(broken);
         }
     }
 
-    /// Notes that nothing listens any more where a backend server was.
+    /// Records that nothing listens any more at the address of a backend server.
     pub fn server_ended(&mut self, now: Now, server: &ServerLife) {
         self.confirm(now, |_, broken| broken.life == server.life);
     }
 
-    /// Looks whether the list tells of an end that broken runs wait for.
+    /// Confirms the crashes of broken runs whose server was replaced or removed in the list.
     pub(super) fn confirm_by_list(&mut self, now: Now) {
         self.confirm(now, |control, broken| {
             match control.list.replica(&broken.replica) {
@@ -117,7 +118,7 @@
             .server_ended(now, broken.fingerprint, proven_at, end);
     }
 
-    /// Takes what a peer suspects.
+    /// Applies the suspicions that a peer advertises.
     pub fn apply_peer_suspects(&mut self, now: Now, told: &[ToldSuspect]) {
         for told in told {
             let proven_at = self.proven.proven_at(told.fingerprint);
@@ -125,43 +126,43 @@
         }
     }
 
-    /// What the others should know of suspicions now.
+    /// Returns the suspicions to advertise now.
     pub fn advertised_suspects(&mut self, now: Now) -> Vec<ToldSuspect> {
         self.suspicions.told(now)
     }
 
-    /// The suspicions that have changed since this was asked last.
+    /// Takes the changes of suspicions since the last call.
     pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
         self.suspicions.take_news()
     }
 
-    /// Sessions of this instance with a content that have not begun: they wait at their
-    /// engines, and would end these as well.
+    /// Returns the requests of this instance with a fingerprint that have not started: they are
+    /// queued at their engines and would crash these as well.
     pub fn unstarted_with(&self, fingerprint: Fingerprint) -> Vec<RequestId> {
         let runs = self.runs.iter();
-        let waits = runs.filter(|(_, run)| {
+        let unstarted = runs.filter(|(_, run)| {
             run.ask.fingerprint == fingerprint && !run.has_begun && !run.is_proven
         });
-        waits.map(|(request, _)| request.clone()).collect()
+        unstarted.map(|(request, _)| request.clone()).collect()
     }
 
-    /// Contents that are suspected.
+    /// Returns the number of suspected fingerprints.
     pub fn suspected(&self) -> usize {
         self.suspicions.count()
     }
 
-    /// Contents that are quarantined.
+    /// Returns the number of quarantined fingerprints.
     pub fn quarantined(&self) -> usize {
         self.suspicions.quarantined()
     }
 
-    /// Notes that a request ran well.
+    /// Records that a request ran well.
     pub(super) fn ran_well(&mut self, now: Now, fingerprint: Fingerprint) {
         self.proven.note(now, fingerprint);
         self.suspicions.ran_well(now, fingerprint);
     }
 
-    /// Whether a request under way may be sent to a further replica.
+    /// Returns whether a request in progress may be sent to another replica.
     pub fn may_resend(&self, request: &str) -> bool {
         let Some(run) = self.runs.get(request) else {
             return true;
@@ -169,8 +170,8 @@
         run.is_proven || self.suspicions.verdict(run.ask.fingerprint) == Verdict::Free
     }
 
-    /// Refuses a request whose content is quarantined. After its quarantine one
-    /// instance of all sends it once, as a probe.
+    /// Refuses a request whose fingerprint is quarantined. After the quarantine, one instance of
+    /// all sends one such request as a probe.
     pub(super) fn check_quarantine(
         &mut self,
         now: Now,
@@ -187,15 +188,16 @@
         Err(Refusal::quarantined(ends, until.saturating_sub(now)))
     }
 
-    /// Whether this is the instance that probes a content: all that hear each other agree
-    /// on one, and one that is cut off from the other zones probes none.
+    /// Returns whether this instance is the one to probe a fingerprint. All instances that receive
+    /// each other's heartbeats agree on one; an instance that receives fewer than half of the
+    /// other zones probes none.
     fn probes(&self, fingerprint: Fingerprint) -> bool {
         let topic = format!("{:032x}", fingerprint.content);
         let own = &self.parameters.zone;
         let zones = self.parameters.regions.keys().map(String::as_str);
         let others = zones.clone().filter(|zone| *zone != own);
-        let heard = others.clone().filter(|zone| self.peers.knows_zone(zone));
-        if heard.count() * 2 < others.count() {
+        let live = others.clone().filter(|zone| self.peers.knows_zone(zone));
+        if live.count() * 2 < others.count() {
             return false;
         }
         let first = rendezvous_rank(&topic, zones).first().copied();
@@ -210,7 +212,8 @@
 }
 
 impl crate::OwnRun {
-    /// Whether it has gone on well for a while where it runs, or did so before.
+    /// Returns whether the run has made progress for at least `RAN_WELL_AFTER` on its current
+    /// replica, or is confirmed to run well already.
     pub(super) fn has_run_well(&self, now: Now) -> bool {
         let since = |begun: Now| now.saturating_sub(begun) >= RAN_WELL_AFTER;
         self.is_proven || self.begun_at.is_some_and(since)
--- a/crates/core/src/gateway/gateway_control/engine_watch.rs
+++ b/crates/core/src/gateway/gateway_control/engine_watch.rs
@@ -1,5 +1,5 @@
-//! What engines themselves are asked while nobody confirms the platform's list:
-//! those that leave say so, and those that are gone can't be reached.
+//! Queries engines directly while the platform's list is stale: engines that are draining report
+//! it, and engines that are gone do not accept connections.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,51 +15,51 @@
 use crate::ServerLife;
 use crate::rendezvous_rank;
 
-/// Time between two looks at an engine that keeps copies of own sessions.
+/// Time between two connection checks of an engine that holds backups of sessions of this instance.
 const BACKUP_PROBE_INTERVAL: Duration = Duration::from_millis(900);
 
-/// How long a replica that could not be reached is left alone: in an outage of
-/// the list nothing else tells that it is gone, and a cut may heal.
+/// Time for which an unreachable replica gets no requests. During an outage of the list there is no
+/// other sign that a replica is gone, and a network partition may heal.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How long it is told to the others that an engine leaves; several heartbeats,
-/// of which some may be lost.
+/// Time for which it is advertised that an engine is draining: several heartbeats, as some may be
+/// lost.
 const DRAINING_ADVERTISED_FOR: Duration = Duration::from_secs(10);
 
-/// How long it is told to the others that a replica could not be reached: two
-/// heartbeats; whoever finds it so again tells it again.
+/// Time for which it is advertised that a replica is unreachable: two heartbeats. An instance that
+/// finds it unreachable again advertises it again.
 const UNREACHABLE_ADVERTISED_FOR: Duration = Duration::from_secs(2);
 
-/// Engines to be asked or looked at now.
+/// Engines to be checked now.
 #[derive(Clone, Debug, Default)]
 pub struct EngineChecks {
-    /// Ask these whether they leave.
+    /// Engines to query whether they are draining.
     pub ask: Vec<Replica>,
-    /// See whether these can be reached.
+    /// Engines whose reachability is to be checked.
     pub look: Vec<Replica>,
 }
 
-/// What this instance has learned from engines itself.
+/// Observations of engines by this instance, and draining notices that peers report.
 #[derive(Debug, Default)]
 pub(super) struct EngineWatch {
     said_leaving: BTreeMap<BackendId, Now>,
     peers_said_leaving: BTreeMap<BackendId, Now>,
-    looked_at: BTreeMap<BackendId, Now>,
+    probed_at: BTreeMap<BackendId, Now>,
     unreachable_until: BTreeMap<BackendId, Now>,
     found_unreachable: BTreeMap<BackendId, Now>,
 }
 
 impl EngineWatch {
-    /// Drops what is known of a replica.
+    /// Removes the observations of a replica.
     pub(super) fn forget(&mut self, id: &str) {
         self.said_leaving.remove(id);
         self.peers_said_leaving.remove(id);
-        self.looked_at.remove(id);
+        self.probed_at.remove(id);
         self.unreachable_until.remove(id);
         self.found_unreachable.remove(id);
     }
 
-    /// Whether a replica could not be reached lately.
+    /// Returns whether a replica was found unreachable recently.
     pub(super) fn is_unreachable(&self, now: Now, id: &str) -> bool {
         let until = self.unreachable_until.get(id);
         until.is_some_and(|until| now < *until)
@@ -67,94 +67,98 @@
 }
 
 impl GatewayControl {
-    /// The checks that are due; none while the list is confirmed, since each has
-    /// a price. Each engine is asked by one instance of its zone, which tells the
-    /// others; each instance looks by itself after the copies of its sessions.
+    /// Returns the checks that are due; none while the list is confirmed, since checks load the
+    /// engines. Each engine is queried by one instance of its zone, which advertises the result.
+    /// Each instance itself checks the engines that hold backups of its sessions.
     pub fn engine_checks(&mut self, now: Now) -> EngineChecks {
         if !self.is_list_stale {
-            self.watch.looked_at.clear();
+            self.watch.probed_at.clear();
             return EngineChecks::default();
         }
         let names: Vec<String> = self.peers.neighbours().cloned().collect();
         let own = self.parameters.instance.clone();
-        let is_near = |zone: &str| zone == self.parameters.zone || !self.peers.knows_zone(zone);
-        let is_ours = |replica: &Replica| {
+        let is_in_queried_zone =
+            |zone: &str| zone == self.parameters.zone || !self.peers.knows_zone(zone);
+        let is_assigned = |replica: &Replica| {
             let names = names.iter().map(String::as_str).chain([own.as_str()]);
-            is_near(&replica.availability_zone)
+            is_in_queried_zone(&replica.availability_zone)
                 && rendezvous_rank(&replica.id, names).first() == Some(&own.as_str())
         };
         let engines = self.serving_engines(now);
-        // One that rests wants no questions either.
+        // Engines that are backing off are not queried either.
         let engines: Vec<Replica> = engines
             .into_iter()
             .filter(|replica| !self.rests.rests(now, replica.life()))
             .collect();
-        let ask = engines.iter().filter(|replica| is_ours(replica)).cloned();
+        let ask = engines
+            .iter()
+            .filter(|replica| is_assigned(replica))
+            .cloned();
         EngineChecks {
             ask: ask.collect(),
             look: self.backups_to_probe(now, &engines),
         }
     }
 
-    /// Notes that a replica says that it leaves, to us or to a peer; returns what
-    /// sessions must do, `None` when it is no news.
+    /// Records that a replica reports to this instance (`to_us`) or to a peer that it is draining.
+    /// Returns the session moves that follow, or `None` if it was known already.
     pub fn leaves(
         &mut self,
         now: Now,
         server: &ServerLife,
         to_us: bool,
     ) -> Option<Vec<Evacuation>> {
-        let is_news = self.list.says_it_leaves(now, server);
+        let is_new = self.list.says_it_leaves(now, server);
         if !self.is_current(server) {
-            // Kept for when the list tells of that life, and told nobody.
+            // Kept until the list contains that incarnation; not advertised.
             return None;
         }
         let id = server.id.clone();
         if to_us {
             self.watch.said_leaving.insert(id, now);
-        } else if is_news {
+        } else if is_new {
             self.watch.peers_said_leaving.insert(id, now);
         }
-        is_news.then(|| self.replicas_changed(now))
+        is_new.then(|| self.replicas_changed(now))
     }
 
-    /// Replicas that told this instance lately that they leave; for a relay also
-    /// those that told a peer.
+    /// Returns the replicas that recently reported to this instance that they are draining; for a
+    /// relay also those that reported it to a peer.
     pub fn said_leaving(&self, now: Now, is_relay: bool) -> Vec<BackendId> {
-        let heard = self.watch.peers_said_leaving.iter().filter(|_| is_relay);
-        let said = self.watch.said_leaving.iter().chain(heard);
+        let by_peers = self.watch.peers_said_leaving.iter().filter(|_| is_relay);
+        let said = self.watch.said_leaving.iter().chain(by_peers);
         let lately = said.filter(|(_, at)| now.saturating_sub(**at) < DRAINING_ADVERTISED_FOR);
         lately.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Notes that a replica can't be reached from here: nothing new goes there for
-    /// a while, and copies of own sessions there count as lost.
+    /// Records that a replica is unreachable from this instance: it gets no new requests for
+    /// `UNREACHABLE_BACKOFF`, and backups of sessions of this instance there count as lost.
     pub fn unreachable(&mut self, now: Now, id: &str) {
         let until = now + UNREACHABLE_BACKOFF;
         self.watch.unreachable_until.insert(id.to_owned(), until);
         for run in self.runs.values_mut() {
-            let keeps = run.backup.as_deref() == Some(id);
-            if keeps && run.moving == Moving::Stays {
+            let holds_backup = run.backup.as_deref() == Some(id);
+            if holds_backup && run.moving == Moving::Stays {
                 run.backup = None;
             }
         }
     }
 
-    /// Notes that a replica took no connection of ours. While nobody confirms the list,
-    /// and while it settles after that, nothing else tells that it is gone, and the
-    /// others should not find out each by itself. Returns whether they are to be told.
+    /// Records that a replica did not accept a connection. While the list is stale, and until it
+    /// has settled afterwards, there is no other sign that the replica is gone, and the other
+    /// instances should not each have to detect it. Returns whether to advertise it.
     pub fn refused_connection(&mut self, now: Now, id: &str) -> bool {
         if !self.list_is_doubtful(now) {
             return false;
         }
-        let is_news = !self.watch.is_unreachable(now, id);
+        let is_new = !self.watch.is_unreachable(now, id);
         self.watch.found_unreachable.insert(id.to_owned(), now);
         self.unreachable(now, id);
-        is_news
+        is_new
     }
 
-    /// Notes that a replica took no connection of a peer of this zone, which sees
-    /// what this instance sees.
+    /// Applies the report of a peer of this zone that a replica did not accept a connection. The
+    /// peer has the same network connectivity as this instance.
     pub fn hear_unreachable(&mut self, now: Now, id: &str) {
         if self.list_is_doubtful(now) {
             self.unreachable(now, id);
@@ -165,7 +169,7 @@
         self.is_list_stale || self.list.is_settling(now)
     }
 
-    /// Replicas that took no connection of ours lately.
+    /// Returns the replicas that recently did not accept a connection of this instance.
     pub fn found_unreachable(&self, now: Now) -> Vec<BackendId> {
         let found = self.watch.found_unreachable.iter();
         let lately = found.filter(|(_, at)| now.saturating_sub(**at) < UNREACHABLE_ADVERTISED_FOR);
@@ -183,27 +187,27 @@
     }
 
     fn backups_to_probe(&mut self, now: Now, engines: &[Replica]) -> Vec<Replica> {
-        let keeps = |id: &BackendId| {
+        let holds_backup = |id: &BackendId| {
             let mut sessions = self.runs.values();
             sessions
                 .any(|run| run.ask.class == RequestClass::Stream && run.backup.as_ref() == Some(id))
         };
-        let looked_at = &self.watch.looked_at;
+        let probed_at = &self.watch.probed_at;
         let is_due = |id: &BackendId| {
-            let at = looked_at.get(id);
+            let at = probed_at.get(id);
             at.is_none_or(|at| now.saturating_sub(*at) >= BACKUP_PROBE_INTERVAL)
         };
         let due = engines
             .iter()
-            .filter(|replica| is_due(&replica.id) && keeps(&replica.id));
+            .filter(|replica| is_due(&replica.id) && holds_backup(&replica.id));
         let due: Vec<Replica> = due.cloned().collect();
         for replica in &due {
-            self.watch.looked_at.insert(replica.id.clone(), now);
+            self.watch.probed_at.insert(replica.id.clone(), now);
         }
         due
     }
 
-    /// Drops what is known of replicas that are gone.
+    /// Removes the observations of replicas that are no longer listed.
     pub(super) fn forget_removed(&mut self) {
         let list = &self.list;
         let is_listed = |id: &BackendId| list.state(id) != ListedState::Removed;
--- a/crates/core/src/gateway/gateway_control/evacuation.rs
+++ b/crates/core/src/gateway/gateway_control/evacuation.rs
@@ -1,5 +1,5 @@
-//! Where requests and sessions may go at all: not to zones that the operators evacuate,
-//! and only to regions that are their home.
+//! Restricts where requests and sessions may be placed: not in zones that the operators evacuate,
+//! and only in the home regions of the request.
 
 use super::FULL_RETRY_AFTER;
 use super::GatewayControl;
@@ -16,38 +16,38 @@
 use crate::ZoneEvacuations;
 
 impl GatewayControl {
-    /// Takes news of evacuated zones; returns what is different now, `None` when they
-    /// are not newer than what is known.
+    /// Applies an update of the evacuated zones; returns the changes, or `None` if the update is
+    /// not newer than the known state.
     ///
-    /// Sessions that run in such a zone stay there: its engines serve on, and those
-    /// elsewhere have less room for them than before. Their copies count no longer.
+    /// Sessions that run in an evacuated zone stay there: its engines keep serving, and engines in
+    /// other zones have less capacity than before. Backups in an evacuated zone are dropped.
     pub fn offer_evacuations(
         &mut self,
         now: Now,
-        news: EvacuationNews,
+        update: EvacuationNews,
     ) -> Option<Vec<EvacuationChange>> {
-        let changes = self.evacuations.take(now, news)?;
+        let changes = self.evacuations.take(now, update)?;
         self.drop_evacuated_backups();
         Some(changes)
     }
 
-    /// The evacuated zones.
+    /// Returns the zone evacuations.
     pub fn evacuations(&self) -> &ZoneEvacuations {
         &self.evacuations
     }
 
-    /// Backend servers that are listed in a zone.
+    /// Returns the number of backend servers listed in a zone.
     pub fn listed_in(&self, zone: &str) -> usize {
         self.list.in_zone(zone)
     }
 
-    /// Whether a replica may be given something new.
+    /// Returns whether the zone of a replica accepts new requests.
     pub(super) fn is_open(&self, replica: &Replica) -> bool {
         !self.evacuations.is_evacuated(&replica.availability_zone)
     }
 
-    /// Whether a replica is in a region that is home to a request. A zone whose region
-    /// is not known is home to none.
+    /// Returns whether a replica is in a home region of a request. A zone whose region is unknown
+    /// is in no home region.
     pub(super) fn is_in_home_region(&self, replica: &Replica, ask: &PlacementRequest) -> bool {
         let Some(homes) = &ask.homes else {
             return true;
@@ -56,20 +56,20 @@
         region.is_some_and(|region| homes.contains(region))
     }
 
-    /// Why no backend server takes a request; the caller can't know whether it is the
-    /// operators' doing.
-    pub(super) fn nothing_takes(&mut self, now: Now, ask: &PlacementRequest) -> Refusal {
-        if let Some(refusal) = self.all_rest(now, ask) {
+    /// Returns the refusal for a request that no backend server takes. Its message names the cause,
+    /// since the caller can't know whether an operator's action led to it.
+    pub(super) fn no_replica_refusal(&mut self, now: Now, ask: &PlacementRequest) -> Refusal {
+        if let Some(refusal) = self.all_backing_off(now, ask) {
             return refusal;
         }
         let service = &ask.service;
         let serving = self.list.serving(now).filter(|r| r.service == *service);
         let serving: Vec<&Replica> = serving.collect();
-        let at_home = || serving.iter().filter(|r| self.is_in_home_region(r, ask));
-        let mut open = at_home().filter(|replica| self.is_open(replica));
+        let in_home_region = || serving.iter().filter(|r| self.is_in_home_region(r, ask));
+        let mut open = in_home_region().filter(|replica| self.is_open(replica));
         let message = if serving.is_empty() {
             format!("no backend server of {service} takes requests now")
-        } else if at_home().next().is_none() {
+        } else if in_home_region().next().is_none() {
             format!("no backend server of {service} is in a home region of the request")
         } else if open.next().is_none() {
             format!("the zones of all backend servers of {service} are evacuated")
@@ -80,8 +80,8 @@
         Refusal::new(RefusalKind::NoBackend, NO_BACKEND_RETRY_AFTER, message)
     }
 
-    /// A session can't go on at a copy in an evacuated zone; a move there that is under
-    /// way is ended by whoever sends the session on.
+    /// Drops the backups in evacuated zones: a session can't fail over to them. A move to such a
+    /// zone that is in progress is ended by the task that moves the session.
     fn drop_evacuated_backups(&mut self) {
         let is_evacuated = |id: &BackendId| {
             let replica = self.list.replica(id);
--- a/crates/core/src/gateway/gateway_control/failover.rs
+++ b/crates/core/src/gateway/gateway_control/failover.rs
@@ -1,5 +1,5 @@
-//! Where sessions keep copies, and where they go when their engine leaves or
-//! breaks off.
+//! Chooses the backup engines of sessions, and the engines that continue sessions when their engine
+//! is draining or has failed.
 
 use rand_core::Rng;
 
@@ -16,28 +16,27 @@
 use crate::RequestClass;
 use crate::RequestId;
 
-/// Share of the memory of an engine up to which sessions move there: a session
-/// that can't move is lost with its engine, one that is displaced only pauses.
+/// Fraction of the memory of an engine up to which sessions move there. It may be filled entirely: a
+/// session that can't move is lost with its engine, while a preempted session only pauses.
 const MOVE_MEMORY_LIMIT: f64 = 1.0;
 
 impl GatewayControl {
-    /// Decides where a session goes on whose engine broke off; `None` when no
-    /// copy of it is usable.
+    /// Fails a session over to its backup engine; `None` if it has no usable backup.
     pub fn fail_over(&mut self, now: Now, request: &str) -> Option<FailoverTarget> {
         let run = self
             .runs
             .get(request)
             .filter(|_| self.may_resend(request))?;
         if run.moving != Moving::Stays {
-            // The copy that it moves to was never complete.
+            // The copy to the target of the move was never completed.
             return None;
         }
         let backup = self.list.replica(run.backup.as_deref()?)?.clone();
         self.fail_over_to(now, request, backup)
     }
 
-    /// Decides where a stream is run again whose engine broke off and that has no
-    /// copy; `None` when no engine takes it or the retry budget is spent.
+    /// Restarts a stream without a backup on another engine after its engine failed; `None` if no
+    /// engine takes it or the retry budget is spent.
     pub fn restart_stream(&mut self, now: Now, request: &str) -> Option<FailoverTarget> {
         let run = self
             .runs
@@ -62,8 +61,8 @@
         Some(target)
     }
 
-    /// Counts a session as running where it was: its copy could not be used and
-    /// is of no more use.
+    /// Counts a session as running on `replica` again, since its backup could not be used, and
+    /// drops the backup.
     pub fn failover_failed(&mut self, request: &str, replica: BackendId) {
         let life = self.list.replica(&replica).map(Replica::life);
         if let Some(run) = self.runs.get_mut(request) {
@@ -73,8 +72,7 @@
         }
     }
 
-    /// Counts a session as running at `replica` and chooses where its next
-    /// copy is kept.
+    /// Counts a session as running on `replica` and chooses its next backup engine.
     pub fn fail_over_to(
         &mut self,
         now: Now,
@@ -86,7 +84,7 @@
         let mut ask = run.ask.clone();
         ask.prompt_tokens += run.generated;
         ask.max_tokens = ask.max_tokens.saturating_sub(run.generated);
-        let next = self.choose_backup_besides(now, &ask, &replica, Some(&from));
+        let next = self.choose_backup_excluding(now, &ask, &replica, Some(&from));
         let run = self.runs.get_mut(request)?;
         run.moving = Moving::Stays;
         run.begun_at = None;
@@ -107,13 +105,13 @@
         ask: &PlacementRequest,
         first: &Replica,
     ) -> Option<Replica> {
-        self.choose_backup_besides(now, ask, first, None)
+        self.choose_backup_excluding(now, ask, first, None)
     }
 
-    /// The engine with the most memory to spare, `first` and `also` excluded. A
-    /// session in another availability zone keeps its copy in this one, if there
-    /// is room: that zone may be cut off.
-    fn choose_backup_besides(
+    /// Returns the best backup engine other than `first` and `also`. The backup of a session in a
+    /// remote zone is placed in the local zone if there is room, since the remote zone may be cut
+    /// off.
+    fn choose_backup_excluding(
         &mut self,
         now: Now,
         ask: &PlacementRequest,
@@ -129,8 +127,8 @@
         }
         let limit = self.parameters.copy_limit;
         let scores = self.scores(now, ask, Some(&first.id));
-        // Room on one engine that has just come is needed for sessions, where the
-        // others are full.
+        // If the other engines are full, room on an engine that has just started is needed for
+        // sessions.
         let taken: f64 = scores.iter().map(|score| score.memory).sum();
         if taken > limit * scores.len() as f64 {
             return None;
@@ -146,8 +144,8 @@
         fitting.into_iter().next()
     }
 
-    /// Sessions without a copy have to move when their engine leaves; a copy on
-    /// an engine that leaves is of no more use.
+    /// Applies a change of the list: moves sessions without a backup off draining engines, and
+    /// drops backups on draining engines.
     pub(super) fn replicas_changed(&mut self, now: Now) -> Vec<Evacuation> {
         self.confirm_by_list(now);
         self.reset_new_incarnations();
@@ -164,12 +162,12 @@
             if run.backup.as_ref().is_some_and(is_leaving) {
                 run.backup = None;
             }
-            let has_copy = run.backup.is_some();
+            let has_backup = run.backup.is_some();
             let is_session = run.ask.class == RequestClass::Stream;
             let stays = run.moving == Moving::Stays;
-            // A short answer ends before its engine does.
+            // A short answer completes before a draining engine stops.
             let is_long = run.ask.likely_tokens().max(run.generated) >= least_moved;
-            let needs_move = is_session && is_long && !has_copy && stays;
+            let needs_move = is_session && is_long && !has_backup && stays;
             let needs_move = needs_move && is_leaving(&run.replica);
             if needs_move && can_move(&run.ask.service) {
                 to_move.push(request.clone());
@@ -182,7 +180,7 @@
             .collect()
     }
 
-    /// Notes that a session that has to move can't be copied just now.
+    /// Records that a session that has to move can't be copied at the moment.
     pub fn move_delayed(&mut self, request: &str) {
         if let Some(run) = self.runs.get_mut(request) {
             run.moving = Moving::Seeks;
@@ -190,7 +188,8 @@
         }
     }
 
-    /// Sessions end all the time: those that found no room look again.
+    /// Retries the moves of sessions for which no engine had room, as other sessions end
+    /// continuously.
     pub(super) fn retry_moves(&mut self, now: Now) -> Vec<Evacuation> {
         let seeking = self
             .runs
@@ -204,9 +203,8 @@
         found.collect::<Vec<_>>().into_iter().flatten().collect()
     }
 
-    /// Where a session should move: to the engine with the most room that it
-    /// has not tried, first in the zone of its engine, where moves take half
-    /// the time.
+    /// Chooses the engine to which a session moves, among the better half of those not in `tried`.
+    /// The zone of its current engine is preferred, where moves take half the time.
     pub fn evacuate(&mut self, now: Now, request: &str, tried: &[BackendId]) -> Option<Evacuation> {
         if !self.may_resend(request) {
             return None;
@@ -235,7 +233,7 @@
         self.note_send(now, &target.id);
         let run = self.runs.get_mut(request)?;
         run.moving = Moving::Moves;
-        // Counts there from now on, so that not all sessions choose the same.
+        // Counted on the target from now on, so that not all sessions choose the same engine.
         run.backup = Some(target.id.clone());
         run.backup_life = Some(target.life());
         Some(Evacuation {
@@ -244,16 +242,16 @@
         })
     }
 
-    /// One by chance of the better half, those of `zone` first: instances that
-    /// move sessions at the same moment don't know of each other yet, and copies
-    /// to one engine wait for each other.
+    /// Returns a random engine of the better half, preferring those in `zone`. Instances that move
+    /// sessions at the same time do not know of each other's choices yet, and concurrent copies to
+    /// one engine wait for each other.
     fn pick_from_better_half(&mut self, ranked: Vec<Replica>, zone: &str) -> Option<Replica> {
-        let (near, far): (Vec<Replica>, Vec<Replica>) = ranked
+        let (local, remote): (Vec<Replica>, Vec<Replica>) = ranked
             .into_iter()
             .partition(|replica| replica.availability_zone == zone);
-        let mut choice = if near.is_empty() { far } else { near };
+        let mut choice = if local.is_empty() { remote } else { local };
         choice.truncate(choice.len().div_ceil(2));
-        let place = self.random.next_u32() as usize % choice.len().max(1);
-        choice.into_iter().nth(place)
+        let index = self.random.next_u32() as usize % choice.len().max(1);
+        choice.into_iter().nth(index)
     }
 }
--- a/crates/core/src/gateway/gateway_control/incarnations.rs
+++ b/crates/core/src/gateway/gateway_control/incarnations.rs
@@ -1,6 +1,6 @@
-//! Backend servers that are back under their id: what was believed of an earlier life
-//! never speaks of a later one. The revision of the platform's list orders lives; times
-//! of day only tell them apart.
+//! Handles backend servers that restart under the same ID: state recorded for one incarnation is
+//! never applied to a later one. Incarnations are ordered by the revision of the platform's list;
+//! start times are only compared for equality.
 
 use super::GatewayControl;
 use crate::BackendId;
@@ -9,26 +9,26 @@
 use crate::ServerLife;
 
 impl GatewayControl {
-    /// Whether news of a backend server are about the life that is listed, or about one
-    /// that isn't listed at all.
+    /// Returns whether an update about a backend server concerns the listed incarnation, or a
+    /// server that is not listed.
     pub fn is_current(&self, server: &ServerLife) -> bool {
         let listed = self.list.replica(&server.id);
         listed.is_none_or(|listed| listed.life() == server.life)
     }
 
-    /// The listed lives of backend servers.
+    /// Returns the listed incarnations of backend servers.
     pub fn incarnations_of(&self, ids: Vec<BackendId>) -> Vec<ServerLife> {
         let listed = ids.iter().filter_map(|id| self.list.replica(id));
         listed.map(|replica| replica.server_life()).collect()
     }
 
-    /// Sessions of this instance whose engine has started anew since they were sent
-    /// there, each once.
+    /// Takes the sessions of this instance whose engine has restarted since they were sent there.
+    /// Each session is returned once.
     pub fn take_orphaned(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.orphaned)
     }
 
-    /// Begins with nothing believed of the lives that the list has newly brought.
+    /// Clears the state of servers for which the list has a new incarnation.
     pub(super) fn reset_new_incarnations(&mut self) {
         for id in self.list.take_begun() {
             self.pauses.remove(&id);
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Sessions and copies that an earlier life held are gone with it.
+    /// Marks the sessions on an earlier incarnation as orphaned and drops the backups that it held.
     fn mark_orphaned(&mut self, id: &str) {
         let Some(life) = self.list.replica(id).map(|replica| replica.life()) else {
             return;
         };
         for (request, run) in &mut self.runs {
-            let has_copy = run.backup.as_deref() == Some(id) && run.moving == Moving::Stays;
-            if has_copy && run.backup_life != Some(life) {
+            let has_backup = run.backup.as_deref() == Some(id) && run.moving == Moving::Stays;
+            if has_backup && run.backup_life != Some(life) {
                 run.backup = None;
             }
             if run.replica == id && run.life.is_some_and(|known| known != life) {
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -1,5 +1,5 @@
-//! Keeps what this instance sends to servers that named a limit to its share of it. Whatever
-//! reaches them counts: first sends, further tries, sessions, orders and questions.
+//! Keeps the sends of this instance to limited servers within its share of the limit. Everything
+//! that reaches a server counts: first sends, retries, sessions, orders and queries.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 use crate::ServerLimits;
 use crate::ToldLimit;
 
-/// Shortest time to come back that is told: a turn may come sooner, and be another's.
+/// Minimum Retry-After: a slot may become free sooner, but another caller may take it.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl GatewayControl {
-    /// Notes what an answer says of its server's limit.
+    /// Applies the limit that a server names in an answer; returns the change, if any.
     pub fn limit_noticed(
         &mut self,
         now: Now,
@@ -38,7 +38,7 @@
         self.limits.heard(now, server, limit, heard.sent_at, earned)
     }
 
-    /// Notes what a peer tells of servers' limits; returns what has changed.
+    /// Applies the server limits that a peer advertises; returns the changes.
     pub fn apply_peer_limits(
         &mut self,
         now: Now,
@@ -53,14 +53,15 @@
         changes
     }
 
-    /// Whether something may be sent to a server now: an order, a question, or a request that
-    /// was placed before.
+    /// Returns whether an order, a query or an already placed request may be sent to a server
+    /// now.
     pub fn may_send(&mut self, now: Now, server: &ServerLife, request: &str) -> bool {
         self.limits.use_grant(now, request, server.life) || self.wish(now, server)
     }
 
-    /// What all other instances want of a limited server. Those that could not say yet, since
-    /// the limit is new or they fell silent before, are taken to want as much as this one.
+    /// Returns the demand of all other instances for a limited server. Instances that have not
+    /// advertised theirs since the limit was named, because it is new or they are silent, are
+    /// assumed to have the same demand as this one.
     pub fn wanted_by_others(&self, now: Now, server: &ServerLife) -> RequestRate {
         let told = self.peers.wanted_of(&server.id);
         let Some(since) = self.limits.limited_since(server.life) else {
@@ -70,18 +71,18 @@
         told.plus(own.times(self.peers.unheard_since(since)))
     }
 
-    /// The limits.
+    /// Returns the known limits of servers.
     pub fn limits(&self) -> &ServerLimits {
         &self.limits
     }
 
-    /// What to tell the others of limits.
+    /// Returns the limits to advertise.
     pub fn advertised_limits(&mut self, now: Now, is_relay: bool) -> Vec<ToldLimit> {
         self.limits.told(now, is_relay)
     }
 
-    /// What this instance has put on the replicas and wants of limited ones, as the others
-    /// are told it.
+    /// Returns the load that this instance puts on the replicas and its demand for limited ones,
+    /// as advertised to the other instances.
     pub fn advertised_shares(&mut self, now: Now) -> LoadShares {
         let mut shares = self.shares();
         for (id, wanted) in self.limits.tell_wanted(now) {
@@ -90,13 +91,14 @@
         shares
     }
 
-    /// Whether the others should hear at once what this instance wants of limited servers.
+    /// Returns whether the demand of this instance for limited servers should be advertised at
+    /// once.
     pub fn is_demand_update(&self, now: Now) -> bool {
         self.limits.is_news(now)
     }
 
-    /// Leaves out limited replicas that are ranked before the first that may be sent a
-    /// request now. Returns the others, and those left out.
+    /// Skips limited replicas that are ranked before the first one that may be sent a request now.
+    /// Returns the remaining and the skipped replicas.
     pub(super) fn skip_limited(
         &mut self,
         now: Now,
@@ -114,14 +116,14 @@
         (Vec::new(), passed_over)
     }
 
-    /// Moves limited replicas behind the others: what is placed there may have to wait.
+    /// Sorts limited replicas behind the others, since requests may have to wait there.
     pub(super) fn sort_limited_last(&self, replicas: &mut [Replica]) {
         if !self.limits.is_empty() {
             replicas.sort_by_key(|replica| self.limits.has(replica.life()));
         }
     }
 
-    /// Why nobody takes a request, when all who could are limited.
+    /// Returns the refusal of a request if all replicas that could take it are limited.
     pub(super) fn all_limited(
         &mut self,
         now: Now,
@@ -140,14 +142,14 @@
         Refusal::limited(&ask.service, left.max(MIN_RETRY_AFTER))
     }
 
-    /// Time until this instance may send a limited replica one more request than others were
-    /// told to wait for; `None` if it may now.
+    /// Returns the time until this instance may send a limited replica one more request than the
+    /// callers that already wait for it; `None` if it may send now.
     pub(super) fn turn_in(&self, now: Now, replica: &Replica) -> Option<Duration> {
         let others = self.wanted_by_others(now, &replica.server_life());
         self.limits.turn_in(now, replica.life(), others)
     }
 
-    /// Drops what is known of limits of lives that are long gone.
+    /// Removes the limits of incarnations that have been gone for long.
     pub(super) fn forget_limits(&mut self, now: Now) {
         if self.limits.is_empty() {
             return;
@@ -156,6 +158,7 @@
         self.limits.expire(now, |life| listed.contains(&life));
     }
 
+    /// Counts a request towards the demand for a server; returns whether it may be sent now.
     pub(super) fn wish(&mut self, now: Now, server: &ServerLife) -> bool {
         if !self.limits.has(server.life) {
             return true;
@@ -165,7 +168,7 @@
     }
 }
 
-/// Names of replicas, for logs.
+/// Returns the IDs of replicas, for logs.
 pub(super) fn names(replicas: &[Replica]) -> Vec<BackendId> {
     replicas.iter().map(|replica| replica.id.clone()).collect()
 }
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -1,7 +1,8 @@
-//! What backend servers say of themselves in their answers: that they leave, or that they
-//! want nothing from this instance for a time. It binds this instance towards that life of
-//! the server. That it leaves is told the others, since it holds for all; a rest is not:
-//! the server asked for it in view of this instance's requests, and answers the others.
+//! Handles server notices: a backend server states in an answer that it is draining, or that it
+//! backs off this instance for a time. A notice applies to one incarnation of the server.
+//! Draining is advertised to the other instances, since it applies to all of them. A backoff is
+//! not: the server requested it because of the requests of this instance, and informs the other
+//! instances in its answers to them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -21,24 +22,24 @@
 use crate::ServerNotice;
 use crate::ServerRest;
 
-/// Longest time after a rest over which callers that were refused because of it are spread;
-/// for shorter rests it is what is left of them. Told the same moment, they would all come
-/// back in it.
+/// Maximum time after a backoff over which the retries of refused callers are spread; for shorter
+/// backoffs it is the time left. Without the spread, all callers would retry at the same moment.
 const MAX_RETRY_SPREAD: Duration = Duration::from_secs(5);
 
-/// What the tasks that send must know at once, also of requests that were placed before.
+/// Send restrictions, checked by the tasks that send requests, also for requests that were placed
+/// earlier.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SendRestrictions {
-    /// Lives that leave: nothing new is sent.
+    /// Incarnations that are draining: nothing new is sent.
     pub leaving: BTreeSet<LifeId>,
-    /// Until when lives rest: nothing at all is sent.
+    /// Incarnations that are backing off, with the end of the backoff: nothing is sent.
     pub resting: BTreeMap<LifeId, Now>,
-    /// Lives that named limits: each send asks.
+    /// Incarnations with a request limit: each send needs permission.
     pub limited: BTreeSet<LifeId>,
 }
 
 impl SendRestrictions {
-    /// When the rest of a life is over, if it rests now.
+    /// Returns when the backoff of an incarnation ends, if it is backing off now.
     pub fn backoff_until(&self, now: Now, life: LifeId) -> Option<Now> {
         self.resting
             .get(&life)
@@ -47,46 +48,47 @@
     }
 }
 
-/// What this instance was asked for by answers.
+/// Backoffs that backend servers requested of this instance in their answers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerBackoffs {
-    by_life: BTreeMap<LifeId, ServerRest>,
-    /// Rises when a server asks for rest.
+    by_incarnation: BTreeMap<LifeId, ServerRest>,
+    /// Increases when a server requests a backoff.
     version: u64,
 }
 
 impl ServerBackoffs {
     pub(super) fn may_send(&self, now: Now, life: LifeId) -> bool {
-        let rest = self.by_life.get(&life);
+        let rest = self.by_incarnation.get(&life);
         rest.is_none_or(|rest| rest.may_send(now))
     }
 
     pub(super) fn rests(&self, now: Now, life: LifeId) -> bool {
-        let rest = self.by_life.get(&life);
+        let rest = self.by_incarnation.get(&life);
         rest.is_some_and(|rest| !rest.left(now).is_zero())
     }
 
     pub(super) fn sent(&mut self, now: Now, life: LifeId, request: &str) {
-        if let Some(rest) = self.by_life.get_mut(&life) {
+        if let Some(rest) = self.by_incarnation.get_mut(&life) {
             rest.sent(now, request);
         }
     }
 
     pub(super) fn gone(&mut self, request: &str) {
-        for rest in self.by_life.values_mut() {
+        for rest in self.by_incarnation.values_mut() {
             rest.gone(request);
         }
     }
 
     pub(super) fn served(&mut self, request: &str) {
-        self.by_life.retain(|_, rest| !rest.is_over_by(request));
+        self.by_incarnation
+            .retain(|_, rest| !rest.is_over_by(request));
     }
 }
 
 impl GatewayControl {
-    /// Notes what an answer said of its backend server; returns what sessions must do.
-    /// Late words of an earlier life say nothing of what is listed, and are kept in case
-    /// the list is late, too.
+    /// Applies a server notice from an answer; returns the session moves that follow from it. A
+    /// late notice of an earlier incarnation does not affect the listed one. A notice of an
+    /// incarnation that is not listed is kept, since the list may be late.
     pub fn noticed(
         &mut self,
         now: Now,
@@ -94,7 +96,7 @@
         notice: &ServerNotice,
     ) -> Option<Vec<Evacuation>> {
         if let Some(rest) = notice.rest() {
-            let known = self.rests.by_life.entry(server.life).or_default();
+            let known = self.rests.by_incarnation.entry(server.life).or_default();
             known.asked(now, rest);
             self.rests.version += 1;
         }
@@ -104,14 +106,14 @@
         }
     }
 
-    /// Rises whenever there is more or less that may not be sent, but for rests that are over.
+    /// Increases whenever the send restrictions change, except when a backoff ends.
     pub fn restrictions_version(&self) -> u64 {
         self.rests.version + self.limits.version() + self.list.leaving_version()
     }
 
-    /// What may not be sent now.
+    /// Returns the current send restrictions.
     pub fn send_restrictions(&self, now: Now) -> SendRestrictions {
-        let rests = self.rests.by_life.iter();
+        let rests = self.rests.by_incarnation.iter();
         let resting = rests.filter(|(_, rest)| !rest.left(now).is_zero());
         SendRestrictions {
             leaving: self.list.lives_that_leave(now),
@@ -120,19 +122,19 @@
         }
     }
 
-    /// Backend servers that rest now.
+    /// Returns the number of backend servers that are backing off now.
     pub fn resting(&self, now: Now) -> usize {
-        let rests = self.rests.by_life.values();
+        let rests = self.rests.by_incarnation.values();
         rests.filter(|rest| !rest.left(now).is_zero()).count()
     }
 
-    /// Whether a replica may be sent a request as far as its rest goes.
-    pub(super) fn has_rested(&self, now: Now, replica: &Replica) -> bool {
+    /// Returns whether the backoff of a replica, if any, permits sending a request.
+    pub(super) fn backoff_permits(&self, now: Now, replica: &Replica) -> bool {
         self.rests.may_send(now, replica.life())
     }
 
-    /// When a caller should come back whose request found nobody, placed or sent: at once
-    /// where a backend server takes requests, else when the first rest is over.
+    /// Returns the Retry-After for a request that could not be placed or sent: `otherwise` if a
+    /// backend server takes requests now, else the time until the first backoff ends.
     pub fn caller_retry_after(
         &mut self,
         now: Now,
@@ -143,23 +145,23 @@
         left.map_or(otherwise, |left| self.spread(left))
     }
 
-    /// Why nobody takes a request, if that is because all who could have asked for rest.
-    pub(super) fn all_rest(&mut self, now: Now, ask: &PlacementRequest) -> Option<Refusal> {
+    /// Returns the refusal of a request if all replicas that could take it are backing off.
+    pub(super) fn all_backing_off(&mut self, now: Now, ask: &PlacementRequest) -> Option<Refusal> {
         let left = self.shortest_wait(now, ask)?;
         let retry_after = self.spread(left);
         Some(Refusal::resting(&ask.service, retry_after))
     }
 
-    /// The shortest time until a replica that could take a request has rested, or takes one
-    /// more under the limit that it named; `None` when one takes requests now, or there is none.
+    /// Returns the shortest time until the backoff of an eligible replica ends, or until its
+    /// request limit permits one more; `None` if a replica takes requests now or there is none.
     fn shortest_wait(&self, now: Now, ask: &PlacementRequest) -> Option<Duration> {
         let serving = self.list.serving(now).filter(|r| r.service == ask.service);
         let open = serving.filter(|r| self.is_open(r) && self.is_in_home_region(r, ask));
         let left = |replica: &Replica| {
-            let rest = self.rests.by_life.get(&replica.life())?;
+            let rest = self.rests.by_incarnation.get(&replica.life())?;
             match rest.left(now) {
                 left if !left.is_zero() => Some(left),
-                // Another request tries it.
+                // A trial request is in flight.
                 _ if !rest.may_send(now) => Some(FULL_RETRY_AFTER),
                 _ => None,
             }
@@ -169,22 +171,23 @@
         lefts?.into_iter().min()
     }
 
+    /// Adds a random delay to the time left of a backoff.
     fn spread(&mut self, left: Duration) -> Duration {
         left + left.min(MAX_RETRY_SPREAD).mul_f64(self.chance())
     }
 
-    /// A number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub(super) fn chance(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// Drops rests that are over of lives that are listed no more.
+    /// Removes expired backoffs of incarnations that are no longer listed.
     pub(super) fn forget_backoffs(&mut self, now: Now) {
-        if self.rests.by_life.is_empty() {
+        if self.rests.by_incarnation.is_empty() {
             return;
         }
         let listed = self.list.lives();
-        let rests = &mut self.rests.by_life;
+        let rests = &mut self.rests.by_incarnation;
         rests.retain(|life, rest| listed.contains(life) || !rest.left(now).is_zero());
     }
 }
--- a/crates/core/src/gateway/gateway_control/ranking.rs
+++ b/crates/core/src/gateway/gateway_control/ranking.rs
@@ -1,4 +1,4 @@
-//! Which replicas may take a request, in what order.
+//! Ranks the replicas that may take a request.
 
 use std::collections::BTreeSet;
 
@@ -14,44 +14,44 @@
 use crate::ZoneId;
 use crate::score;
 
-/// Replicas offered to one request, the best first: enough that one of them is
-/// there when two engines are gone and not yet known to be.
-const RANKED: usize = 4;
+/// Maximum number of replicas offered to a request: enough that one is available when two engines
+/// are gone without this being known yet.
+const MAX_RANKED: usize = 4;
 
 impl GatewayControl {
-    /// The best few. When the first is in another availability zone, the best of
-    /// this one is the second: that zone may be cut off.
+    /// Returns the best `MAX_RANKED` replicas. If the first one is in a remote zone, the best of the
+    /// local zone is placed second, since the remote zone may be cut off.
     pub(super) fn ranked(&self, scores: Vec<ReplicaScore>) -> Vec<Replica> {
         let scores = scores.into_iter();
         let mut replicas: Vec<Replica> = scores.map(|score| score.replica).collect();
-        let is_near = |replica: &Replica| replica.availability_zone == self.parameters.zone;
-        let near = replicas.iter().position(is_near);
-        if let Some(place) = near.filter(|place| *place > 1) {
-            let replica = replicas.remove(place);
+        let is_local = |replica: &Replica| replica.availability_zone == self.parameters.zone;
+        let local = replicas.iter().position(is_local);
+        if let Some(index) = local.filter(|index| *index > 1) {
+            let replica = replicas.remove(index);
             replicas.insert(1, replica);
         }
-        replicas.truncate(RANKED);
+        replicas.truncate(MAX_RANKED);
         replicas
     }
 
-    /// The replicas that may take a request, the cheapest first, seen from the
-    /// zone of this instance.
+    /// Returns the replicas that may take a request, in order of cost as seen from the local zone.
+    /// `excluded` excludes one replica.
     pub(super) fn scores(
         &mut self,
         now: Now,
         ask: &PlacementRequest,
-        besides: Option<&str>,
+        excluded: Option<&str>,
     ) -> Vec<ReplicaScore> {
         let zone = self.parameters.zone.clone();
-        self.scores_from_zone(now, ask, besides, &zone)
+        self.scores_from_zone(now, ask, excluded, &zone)
     }
 
-    /// The same seen from a zone.
+    /// Returns the same as `scores`, with costs as seen from `zone`.
     pub(super) fn scores_from_zone(
         &mut self,
         now: Now,
         ask: &PlacementRequest,
-        besides: Option<&str>,
+        excluded: Option<&str>,
         zone: &str,
     ) -> Vec<ReplicaScore> {
         let Some(table) = self.table.clone() else {
@@ -67,9 +67,9 @@
             .list
             .serving(now)
             .filter(|replica| replica.service == ask.service)
-            .filter(|replica| Some(replica.id.as_str()) != besides)
+            .filter(|replica| Some(replica.id.as_str()) != excluded)
             .filter(|replica| self.is_open(replica) && self.is_in_home_region(replica, ask))
-            .filter(|replica| self.has_rested(now, replica))
+            .filter(|replica| self.backoff_permits(now, replica))
             .filter(|replica| self.may_send_cold(now, replica, service.cold_per_s))
             .cloned()
             .collect();
@@ -81,8 +81,8 @@
         };
         let zones = replicas.iter().map(|r| r.availability_zone.clone());
         let zones: BTreeSet<ZoneId> = zones.collect();
-        // When all are paused, trying one of them beats refusing; those that take no more under
-        // their limits may turn out to be of no use.
+        // If all replicas are in failure backoff, trying one is better than refusing the request.
+        // Limited replicas are not considered here, since they may take no request now.
         let mut unlimited = replicas.iter().filter(|r| !self.limits.has(r.life()));
         let all_paused = unlimited.all(|r| pause_of(&r.id).is_paused(now));
         for replica in replicas {
@@ -103,7 +103,7 @@
             let mut load: LoadShare = own.get(&replica.id).copied().unwrap_or_default();
             load.add(&self.peers.on(&replica.id));
             if load.requests >= service.max_connections {
-                // Each request has a connection; the replica would reset it.
+                // Each request uses a connection, and the replica would reset an additional one.
                 continue;
             }
             scores.push(score(&replica, load, &pause, &context));
--- a/crates/core/src/gateway/gateway_control/server_list.rs
+++ b/crates/core/src/gateway/gateway_control/server_list.rs
@@ -1,4 +1,4 @@
-//! Takes readings of the list of backend servers, its own and those of peers.
+//! Applies the list of backend servers, as read by this instance or received from peers.
 
 use super::Evacuation;
 use super::GatewayControl;
@@ -11,12 +11,12 @@
 use crate::ToldList;
 
 impl GatewayControl {
-    /// The list of replicas.
+    /// Returns the list of replicas.
     pub fn list(&self) -> &ReplicaList {
         &self.list
     }
 
-    /// Takes a whole list of replicas; returns what sessions must do.
+    /// Applies a full list of replicas; returns the session moves that follow.
     pub fn offer_replicas(
         &mut self,
         now: Now,
@@ -27,19 +27,19 @@
         self.replicas_changed(now)
     }
 
-    /// Notes entries of the whole list that can't be used; returns what sessions must do.
+    /// Marks entries of the full list as unusable; returns the session moves that follow.
     pub fn mark_unusable(&mut self, now: Now, ids: Vec<BackendId>) -> Vec<Evacuation> {
         self.list.mark_unusable(now, ids);
         self.replicas_changed(now)
     }
 
-    /// Takes the list of another instance; returns what sessions must do.
+    /// Applies the list of another instance; returns the session moves that follow.
     pub fn apply_peer_list(&mut self, now: Now, told: ToldList) -> Vec<Evacuation> {
         self.list.hear(now, told);
         self.replicas_changed(now)
     }
 
-    /// Takes changes of the list; returns what sessions must do.
+    /// Applies changes of the list; returns the session moves that follow.
     pub fn change_replicas(
         &mut self,
         now: Now,
@@ -52,13 +52,13 @@
         self.replicas_changed(now)
     }
 
-    /// Notes whether nobody has confirmed the list for long; returns whether that
-    /// is news.
-    pub fn set_list_stale(&mut self, is_lost: bool) -> bool {
-        std::mem::replace(&mut self.is_list_stale, is_lost) != is_lost
+    /// Records whether the list is stale, as no instance has confirmed it recently; returns
+    /// whether this changed.
+    pub fn set_list_stale(&mut self, is_stale: bool) -> bool {
+        std::mem::replace(&mut self.is_list_stale, is_stale) != is_stale
     }
 
-    /// Notes when the platform answered again after an outage.
+    /// Records when the platform answered again after an outage.
     pub fn outage_ended(&mut self, at: Now) {
         self.list.outage_ended(at);
     }
--- a/crates/core/src/gateway/gateway_parameters.rs
+++ b/crates/core/src/gateway/gateway_parameters.rs
@@ -1,4 +1,4 @@
-//! What the gateway's decisions take from the settings.
+//! Parameters of the gateway's decisions, taken from the settings.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,29 @@
 use crate::RegionId;
 use crate::ZoneId;
 
-/// Settings of the gateway's decisions.
+/// Parameters of the gateway's decisions.
 #[derive(Clone, Debug)]
 pub struct GatewayParameters {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub zone: ZoneId,
-    /// Further sends that each request earns, over all instances.
+    /// Retries that each request adds to the retry budget, over all instances.
     pub retry_ratio: f64,
-    /// Further sends that may come on top within the operators' window, over
-    /// all instances.
+    /// Additional retries allowed within the window that the operators define, over all
+    /// instances.
     pub retry_extra: f64,
-    /// Instances among which the extra is shared at least, for as long as an
-    /// instance does not know how many there are.
+    /// Minimum number of instances by which `retry_extra` is divided, used while an instance
+    /// does not know how many instances there are.
     pub min_sharers: u32,
-    /// Share of an engine's memory up to which new sessions start.
+    /// Fraction of an engine's memory up to which it is given new sessions.
     pub memory_limit: f64,
-    /// Share of an engine's memory up to which it takes new copies.
+    /// Fraction of an engine's memory up to which it is given new backups.
     pub copy_limit: f64,
-    /// Fewest likely tokens of a session that is worth a copy.
+    /// Minimum expected output tokens for a session to get a backup.
     pub least_copied_tokens: u32,
     /// The region of each availability zone.
     pub regions: BTreeMap<ZoneId, RegionId>,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
--- a/crates/core/src/gateway/length_estimator.rs
+++ b/crates/core/src/gateway/length_estimator.rs
@@ -2,23 +2,23 @@
 
 use std::collections::HashMap;
 
-/// Ratio between neighbouring bucket bounds.
+/// Ratio between the bounds of adjacent buckets.
 const BUCKET_RATIO: f64 = 1.25;
 
-/// Buckets; the last bound is above 10 million tokens.
+/// Number of buckets; the last bound is above 10 million tokens.
 const BUCKETS: usize = 73;
 
-/// Finished generations after which older ones count half.
+/// Number of finished generations after which the weight of older ones is halved.
 const HALF_LIFE: f64 = 2_000.0;
 
-/// Weight of the shared histogram inside that of one class.
+/// Weight of the shared histogram, in samples, when it is mixed with that of a class.
 const PRIOR_WEIGHT: f64 = 20.0;
 
-/// Mean length assumed before anything has finished.
-const FIRST_GUESS_TOKENS: f64 = 256.0;
+/// Mean length in tokens that is assumed until a generation has finished.
+const INITIAL_MEAN_TOKENS: f64 = 256.0;
 
-/// Distribution of lengths by class (workspace and model), with a shared one
-/// as prior for classes that have finished few.
+/// Distribution of generation lengths per class (workspace and model). A shared distribution
+/// serves as the prior for classes with few samples.
 #[derive(Debug, Default)]
 pub struct LengthEstimator {
     shared: Histogram,
@@ -26,7 +26,7 @@
 }
 
 impl LengthEstimator {
-    /// Learns the length of a finished generation.
+    /// Records the length of a finished generation.
     pub fn finished(&mut self, class: &str, tokens: u32) {
         self.shared.add(tokens);
         if !self.classes.contains_key(class) {
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Probability that a generation which has `generated` tokens gets more
-    /// than `further` ones.
+    /// Returns the probability that a generation with `generated` tokens so far produces more
+    /// than `further` additional tokens.
     pub fn survival(&self, class: &str, generated: u32, further: u32) -> f64 {
         let now = self.above(class, f64::from(generated));
         let then = self.above(class, f64::from(generated) + f64::from(further));
@@ -48,7 +48,7 @@
         (then / now).min(1.0)
     }
 
-    /// Quantile `q` of the remaining length.
+    /// Returns quantile `q` of the remaining length in tokens.
     pub fn remaining_quantile(&self, class: &str, generated: u32, q: f64) -> u32 {
         let mut low = 0_u32;
         let mut high = bucket_bound(BUCKETS - 1) as u32;
@@ -63,7 +63,7 @@
         low
     }
 
-    /// Forgets the classes that `keep` does not name.
+    /// Removes the classes for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.classes.retain(|class, _| keep(class));
     }
@@ -79,11 +79,11 @@
 }
 
 fn exponential(tokens: f64) -> f64 {
-    (-tokens / FIRST_GUESS_TOKENS).exp()
+    (-tokens / INITIAL_MEAN_TOKENS).exp()
 }
 
-/// Counts by bucket, kept as sums from each bucket to the last, so that a look
-/// costs the same however many buckets there are.
+/// Sample counts, stored per bucket as the sum from that bucket to the last, so that a lookup
+/// takes constant time regardless of the number of buckets.
 #[derive(Debug)]
 struct Histogram {
     from: [f64; BUCKETS + 1],
--- a/crates/core/src/gateway/memory_demand.rs
+++ b/crates/core/src/gateway/memory_demand.rs
@@ -1,45 +1,45 @@
-//! Memory that sessions will need, predicted over their remaining lives.
+//! Predicts the memory demand of sessions until they end.
 
 use crate::LengthEstimator;
 
-/// Steps ahead at which memory is predicted, in tokens per session.
+/// Prediction horizons, in further tokens per session.
 const HORIZONS: [u32; 6] = [0, 64, 256, 1_024, 4_096, 16_384];
 
 /// A session of this instance on an engine.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OwnSession {
-    /// Class for the length estimate.
+    /// Class of the session in the length estimator.
     pub class: String,
-    /// Tokens of its prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Tokens generated, as last heard.
+    /// Tokens generated, as last reported.
     pub generated: u32,
-    /// Its part in the sums of its engine.
+    /// Contribution of the session to the totals of its engine.
     pub counted: MemoryDemand,
 }
 
 impl OwnSession {
-    /// Memory that it takes now, in tokens.
+    /// Returns the current memory use in tokens.
     pub fn size(&self) -> f64 {
         f64::from(self.prompt_tokens) + f64::from(self.generated)
     }
 
-    /// Memory that it will need.
+    /// Returns the predicted memory demand.
     pub fn demand(&self, estimator: &LengthEstimator) -> MemoryDemand {
         MemoryDemand::of(estimator, &self.class, self.size(), self.generated)
     }
 }
 
-/// Memory predicted for an engine, as a share of what it has.
+/// Predicted memory use of an engine, as a fraction of its capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct MemoryForecast {
-    /// Expected share at the worst horizon.
+    /// Expected fraction at the worst horizon.
     pub expected: f64,
-    /// Expected share plus the safety margin, at the worst horizon.
+    /// Expected fraction plus the safety margin, at the worst horizon.
     pub guarded: f64,
 }
 
-/// Mean and variance, by horizon, of the memory of independent sessions.
+/// Mean and variance of the memory use of independent sessions, per horizon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemoryDemand {
     mean: [f64; HORIZONS.len()],
@@ -47,8 +47,8 @@
 }
 
 impl MemoryDemand {
-    /// The demand of one session: at each horizon it holds its size and what it
-    /// has grown by, if it is still alive by then.
+    /// Returns the demand of one session. At each horizon it uses its current size plus the
+    /// growth until then, provided that it is still running.
     pub fn of(estimator: &LengthEstimator, class: &str, size: f64, generated: u32) -> Self {
         let mut demand = MemoryDemand::default();
         for (place, horizon) in HORIZONS.iter().enumerate() {
@@ -60,7 +60,7 @@
         demand
     }
 
-    /// Adds another, `count` times; a negative count takes it away.
+    /// Adds `other` `count` times; a negative count subtracts it.
     pub fn add(&mut self, other: &MemoryDemand, count: f64) {
         for place in 0..HORIZONS.len() {
             self.mean[place] += other.mean[place] * count;
@@ -68,14 +68,15 @@
         }
     }
 
-    /// The demand of `count` sessions alike.
+    /// Returns the demand of `count` identical sessions.
     pub fn times(&self, count: f64) -> Self {
         let mut demand = MemoryDemand::default();
         demand.add(self, count);
         demand
     }
 
-    /// The share of `memory_tokens` at the horizon at which it is scarcest.
+    /// Returns the fraction of `memory_tokens` in use at the horizon of highest use. `margin` is
+    /// the safety margin in standard deviations.
     pub fn forecast(&self, memory_tokens: u64, margin: f64) -> MemoryForecast {
         let capacity = (memory_tokens as f64).max(1.0);
         let mut worst = MemoryForecast::default();
--- a/crates/core/src/gateway/placement_request.rs
+++ b/crates/core/src/gateway/placement_request.rs
@@ -1,4 +1,4 @@
-//! What one request asks of the backend servers of a service, and the answer.
+//! The input of a placement decision and its result.
 
 use std::collections::BTreeSet;
 
@@ -9,93 +9,93 @@
 use crate::RequestClass;
 use crate::RequestId;
 
-/// A request that wants a backend server.
+/// A request to be placed on a backend server.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The request.
+    /// ID of the request.
     pub request: RequestId,
-    /// What it consists of.
+    /// Digest of the content of the request.
     pub fingerprint: Fingerprint,
-    /// Service that runs it.
+    /// Service that handles the request.
     pub service: String,
-    /// What may be done after a failure.
+    /// Class of the request: determines whether it may be retried, restarted or failed over.
     pub class: RequestClass,
-    /// Tokens of the prompt; 0 where the service is no engine.
+    /// Length of the prompt in tokens; 0 if the service is not an engine.
     pub prompt_tokens: u32,
-    /// Most tokens that the caller takes.
+    /// Maximum number of output tokens that the caller accepts.
     pub max_tokens: u32,
-    /// The caller's guess of the tokens that come out, if it gave one.
+    /// The caller's estimate of the output length in tokens, if given.
     pub expected_tokens: Option<u32>,
-    /// Regions whose backend servers alone may get it; `None` for all.
+    /// Regions to which the request is restricted; `None` allows all regions.
     pub homes: Option<BTreeSet<RegionId>>,
 }
 
 impl PlacementRequest {
-    /// Tokens that are likely to come out: the caller's guess is right at the
-    /// median; without one, half of the most.
+    /// Returns the expected output length in tokens: the caller's estimate, which is correct at
+    /// the median, or half of the maximum if the caller gave none.
     pub fn likely_tokens(&self) -> u32 {
-        let guess = self.expected_tokens.unwrap_or(self.max_tokens / 2);
-        guess.min(self.max_tokens)
+        let estimate = self.expected_tokens.unwrap_or(self.max_tokens / 2);
+        estimate.min(self.max_tokens)
     }
 }
 
-/// Where a request may go.
+/// Result of a placement: the backend servers that may handle the request.
 #[derive(Clone, Debug)]
 pub struct Ranking {
-    /// Backend servers, the best first. The request already counts as sent to
-    /// the first.
+    /// Backend servers in order of preference. The request is already counted as sent to the
+    /// first one.
     pub replicas: Vec<Replica>,
-    /// Engine that should keep a copy of the session.
+    /// Engine that should hold a backup of the session.
     pub backup: Option<Replica>,
-    /// What was believed of the first.
-    pub belief: ServerView,
-    /// Backend servers that were better but take no more now: they named limits.
+    /// State of the first backend server as known to this instance.
+    pub server_view: ServerView,
+    /// Backend servers that ranked higher but were skipped because of their request limits.
     pub passed_over: Vec<BackendId>,
 }
 
-/// What was believed of a backend server when it was chosen.
+/// State of a backend server, as known to this instance, when it was chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerView {
-    /// Requests that all instances had there.
+    /// Requests in flight from all instances.
     pub requests: u32,
-    /// Share of its memory that is taken with the new one, 0 where there is none.
+    /// Fraction of its memory in use, with the new request; 0 for servers without memory tracking.
     pub memory: f64,
-    /// Other instances whose shares are counted.
+    /// Number of other instances whose load is included.
     pub instances: usize,
 }
 
-/// What the decisions tell a session that is under way.
+/// A signal to a session in progress.
 #[derive(Clone, Debug)]
 pub enum SessionSignal {
-    /// Its engine is leaving and no usable copy exists: move to this engine.
+    /// The engine is draining and no usable backup exists: move to this engine.
     MoveTo(Replica),
-    /// Its engine has started anew since it was sent there, and knows nothing of it.
+    /// The engine has restarted since the session was sent there and has lost its state.
     EngineRestarted,
-    /// Backend servers end under requests like it, and it has not begun: end it.
+    /// The request is quarantined because identical requests crashed backend servers, and it
+    /// has not started: end it.
     Withdraw,
 }
 
-/// How a request left its backend server.
+/// How the run of a request on a backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
-    /// It was answered; an answer that reports an error of the service's own
-    /// counts as well.
+    /// The server answered; an answer that reports an error of the service counts as well.
     Answered,
-    /// The backend server broke off, was silent or sent what is no answer.
+    /// The server closed the connection, stalled or sent an invalid answer.
     Failed,
-    /// The backend server refused for lack of room.
+    /// The server refused the request for lack of capacity.
     Refused,
-    /// Neither side is to blame: the caller left or time was up.
+    /// The run ended without a server fault: the caller disconnected or the deadline passed.
     Withdrawn,
 }
 
-/// A session as it moves from one engine to another.
+/// Target of the failover, restart or move of a session.
 #[derive(Clone, Debug)]
 pub struct FailoverTarget {
-    /// The engine to go on at.
+    /// The engine that continues the session.
     pub replica: Replica,
-    /// Engine that should keep a copy from then on.
+    /// Engine that should hold the backup from then on.
     pub backup: Option<Replica>,
-    /// The engine that ran it so far.
+    /// The engine that ran the session before.
     pub from: BackendId,
 }
--- a/crates/daemon/src/gateway/gateway_thread.rs
+++ b/crates/daemon/src/gateway/gateway_thread.rs
@@ -344,9 +344,9 @@
                     "ranking" => format!("{:?}", ids(&ranking)),
                     "passed_over" => passed_over(&ranking),
                     "backup" => ranking.backup.as_ref().map(|b| b.id.clone()),
-                    "requests_there" => ranking.belief.requests,
-                    "memory_share" => ranking.belief.memory,
-                    "instances_counted" => ranking.belief.instances,
+                    "requests_there" => ranking.server_view.requests,
+                    "memory_share" => ranking.server_view.memory,
+                    "instances_counted" => ranking.server_view.instances,
                     "list_revision" => %self.control.list().revision());
                 self.signals.insert(request, signals);
                 Placed::Ranked(ranking)
