--- a/crates/core/src/completion/control/suspecting.rs
+++ b/crates/core/src/completion/control/suspecting.rs
@@ -104,7 +104,7 @@
     }
 
     /// The suspicions that have changed since this was asked last.
-    pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_updates(&mut self) -> Vec<SuspicionNews> {
         self.suspicions.take_news()
     }
 }
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -112,7 +112,7 @@
     watch: EngineWatch,
     evacuations: ZoneEvacuations,
     cold_sends: ColdSends,
-    rests: ServerBackoffs,
+    backoffs: ServerBackoffs,
     limits: ServerLimits,
     broken_runs: BrokenRuns,
     suspicions: Suspicions,
@@ -136,7 +136,7 @@
             watch: EngineWatch::default(),
             evacuations: ZoneEvacuations::default(),
             cold_sends: ColdSends::default(),
-            rests: ServerBackoffs::default(),
+            backoffs: ServerBackoffs::default(),
             limits: ServerLimits::default(),
             broken_runs: BrokenRuns::default(),
             suspicions: Suspicions::default(),
@@ -183,8 +183,8 @@
     }
 
     /// Applies the load of the replicas that a peer advertises.
-    pub fn apply_peer_load(&mut self, now: Now, told: ToldLoads) {
-        self.peers.hear(now, told);
+    pub fn apply_peer_load(&mut self, now: Now, advertised: ToldLoads) {
+        self.peers.hear(now, advertised);
         self.share_budget();
     }
 
@@ -248,17 +248,17 @@
             instances: self.peers.count(),
         };
         let first = first.replica.clone();
-        let life = first.life();
+        let incarnation = first.life();
         self.note_send(now, &first.id);
-        self.rests.sent(now, life, &ask.request);
-        self.limits.keep_grant(now, &ask.request, life);
+        self.backoffs.sent(now, incarnation, &ask.request);
+        self.limits.keep_grant(now, &ask.request, incarnation);
         let backup = self.choose_backup(now, &ask, &first);
         self.budget.earn(&ask.service);
         self.runs.insert(
             ask.request.clone(),
             OwnRun {
                 replica: first.id,
-                life: Some(life),
+                life: Some(incarnation),
                 backup: backup.as_ref().map(|replica| replica.id.clone()),
                 backup_life: backup.as_ref().map(Replica::life),
                 ask,
@@ -280,14 +280,14 @@
     /// Counts a request as sent to a replica other than the first of its ranking.
     pub fn moved(&mut self, now: Now, request: &str, replica: BackendId) {
         self.note_send(now, &replica);
-        let life = self.list.replica(&replica).map(Replica::life);
-        self.rests.gone(request);
-        if let Some(life) = life {
-            self.rests.sent(now, life, request);
+        let incarnation = self.list.replica(&replica).map(Replica::life);
+        self.backoffs.gone(request);
+        if let Some(incarnation) = incarnation {
+            self.backoffs.sent(now, incarnation, request);
         }
         if let Some(run) = self.runs.get_mut(request) {
             run.replica = replica;
-            run.life = life;
+            run.life = incarnation;
             run.has_begun = false;
             run.begun_at = None;
         }
@@ -305,7 +305,7 @@
             return false;
         };
         run.generated = generated;
-        self.rests.served(request);
+        self.backoffs.served(request);
         let had_begun = std::mem::replace(&mut run.has_begun, true);
         run.begun_at.get_or_insert(now);
         let is_proof = !run.is_proven && run.has_run_well(now);
@@ -331,9 +331,9 @@
             return;
         };
         if end == RunEnd::Answered {
-            self.rests.served(request);
+            self.backoffs.served(request);
         }
-        self.rests.gone(request);
+        self.backoffs.gone(request);
         self.limits.drop_grant(request);
         match end {
             RunEnd::Answered => {
--- a/crates/core/src/gateway/gateway_control/crash_attribution.rs
+++ b/crates/core/src/gateway/gateway_control/crash_attribution.rs
@@ -36,7 +36,7 @@
 struct BrokenRun {
     fingerprint: Fingerprint,
     replica: BackendId,
-    life: LifeId,
+    incarnation: LifeId,
     at: Now,
 }
 
@@ -61,11 +61,11 @@
         let broken = BrokenRun {
             fingerprint: run.ask.fingerprint,
             replica: replica.id.clone(),
-            life: replica.life(),
+            incarnation: replica.life(),
             at: now,
         };
         let listed = self.list.replica(&replica.id);
-        if listed.is_some_and(|listed| listed.life() != broken.life) {
+        if listed.is_some_and(|listed| listed.life() != broken.incarnation) {
             // The replica has restarted already.
             return self.attribute(now, &broken);
         }
@@ -74,7 +74,7 @@
         }
         let waiting = &self.broken_runs.unconfirmed;
         let is_same_run = |known: &BrokenRun| {
-            (known.fingerprint, known.life) == (broken.fingerprint, broken.life)
+            (known.fingerprint, known.incarnation) == (broken.fingerprint, broken.incarnation)
         };
         if waiting.len() < MAX_UNCONFIRMED && !waiting.iter().any(is_same_run) {
             self.broken_runs.unconfirmed.push(broken);
@@ -83,14 +83,14 @@
 
     /// Records that nothing listens any more at the address of a backend server.
     pub fn server_ended(&mut self, now: Now, server: &ServerLife) {
-        self.confirm(now, |_, broken| broken.life == server.life);
+        self.confirm(now, |_, broken| broken.incarnation == server.life);
     }
 
     /// Confirms the crashes of broken runs whose server was replaced or removed in the list.
     pub(super) fn confirm_by_list(&mut self, now: Now) {
         self.confirm(now, |control, broken| {
             match control.list.replica(&broken.replica) {
-                Some(listed) => listed.life() != broken.life,
+                Some(listed) => listed.life() != broken.incarnation,
                 None => control.list.state(&broken.replica) == ListedState::Removed,
             }
         });
@@ -110,7 +110,7 @@
 
     fn attribute(&mut self, now: Now, broken: &BrokenRun) {
         let end = ServerEnd {
-            life: broken.life,
+            life: broken.incarnation,
             at: broken.at,
         };
         let proven_at = self.proven.proven_at(broken.fingerprint);
@@ -119,10 +119,10 @@
     }
 
     /// Applies the suspicions that a peer advertises.
-    pub fn apply_peer_suspects(&mut self, now: Now, told: &[ToldSuspect]) {
-        for told in told {
-            let proven_at = self.proven.proven_at(told.fingerprint);
-            self.suspicions.hear(now, proven_at, told);
+    pub fn apply_peer_suspects(&mut self, now: Now, advertised: &[ToldSuspect]) {
+        for advertised in advertised {
+            let proven_at = self.proven.proven_at(advertised.fingerprint);
+            self.suspicions.hear(now, proven_at, advertised);
         }
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Takes the changes of suspicions since the last call.
-    pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_updates(&mut self) -> Vec<SuspicionNews> {
         self.suspicions.take_news()
     }
 
--- a/crates/core/src/gateway/gateway_control/engine_watch.rs
+++ b/crates/core/src/gateway/gateway_control/engine_watch.rs
@@ -34,9 +34,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct EngineChecks {
     /// Engines to query whether they are draining.
-    pub ask: Vec<Replica>,
+    pub query: Vec<Replica>,
     /// Engines whose reachability is to be checked.
-    pub look: Vec<Replica>,
+    pub probe: Vec<Replica>,
 }
 
 /// Observations of engines by this instance, and draining notices that peers report.
@@ -67,8 +67,8 @@
 }
 
 impl GatewayControl {
-    /// Returns the checks that are due; none while the list is confirmed, since checks load the
-    /// engines. Each engine is queried by one instance of its zone, which advertises the result.
+    /// Returns the checks that are due; none while the list is confirmed, since each check
+    /// has a cost. Each engine is queried by one instance of its zone, which advertises the result.
     /// Each instance itself checks the engines that hold backups of its sessions.
     pub fn engine_checks(&mut self, now: Now) -> EngineChecks {
         if !self.is_list_stale {
@@ -88,21 +88,21 @@
         // Engines that are backing off are not queried either.
         let engines: Vec<Replica> = engines
             .into_iter()
-            .filter(|replica| !self.rests.rests(now, replica.life()))
+            .filter(|replica| !self.backoffs.is_backing_off(now, replica.life()))
             .collect();
-        let ask = engines
+        let query = engines
             .iter()
             .filter(|replica| is_assigned(replica))
             .cloned();
         EngineChecks {
-            ask: ask.collect(),
-            look: self.backups_to_probe(now, &engines),
+            query: query.collect(),
+            probe: self.backups_to_probe(now, &engines),
         }
     }
 
     /// Records that a replica reports to this instance (`to_us`) or to a peer that it is draining.
     /// Returns the session moves that follow, or `None` if it was known already.
-    pub fn leaves(
+    pub fn report_draining(
         &mut self,
         now: Now,
         server: &ServerLife,
@@ -148,7 +148,7 @@
     /// has settled afterwards, there is no other sign that the replica is gone, and the other
     /// instances should not each have to detect it. Returns whether to advertise it.
     pub fn refused_connection(&mut self, now: Now, id: &str) -> bool {
-        if !self.list_is_doubtful(now) {
+        if !self.is_list_uncertain(now) {
             return false;
         }
         let is_new = !self.watch.is_unreachable(now, id);
@@ -159,13 +159,13 @@
 
     /// Applies the report of a peer of this zone that a replica did not accept a connection. The
     /// peer has the same network connectivity as this instance.
-    pub fn hear_unreachable(&mut self, now: Now, id: &str) {
-        if self.list_is_doubtful(now) {
+    pub fn apply_peer_unreachable(&mut self, now: Now, id: &str) {
+        if self.is_list_uncertain(now) {
             self.unreachable(now, id);
         }
     }
 
-    fn list_is_doubtful(&self, now: Now) -> bool {
+    fn is_list_uncertain(&self, now: Now) -> bool {
         self.is_list_stale || self.list.is_settling(now)
     }
 
--- a/crates/core/src/gateway/gateway_control/failover.rs
+++ b/crates/core/src/gateway/gateway_control/failover.rs
@@ -16,8 +16,8 @@
 use crate::RequestClass;
 use crate::RequestId;
 
-/// Fraction of the memory of an engine up to which sessions move there. It may be filled entirely: a
-/// session that can't move is lost with its engine, while a preempted session only pauses.
+/// Fraction of the memory of an engine up to which sessions move there. It may be filled entirely:
+/// a session that can't move is lost with its engine, while a preempted session only pauses.
 const MOVE_MEMORY_LIMIT: f64 = 1.0;
 
 impl GatewayControl {
@@ -64,10 +64,10 @@
     /// Counts a session as running on `replica` again, since its backup could not be used, and
     /// drops the backup.
     pub fn failover_failed(&mut self, request: &str, replica: BackendId) {
-        let life = self.list.replica(&replica).map(Replica::life);
+        let incarnation = self.list.replica(&replica).map(Replica::life);
         if let Some(run) = self.runs.get_mut(request) {
             run.replica = replica;
-            run.life = life;
+            run.life = incarnation;
             run.backup = None;
         }
     }
@@ -108,9 +108,9 @@
         self.choose_backup_excluding(now, ask, first, None)
     }
 
-    /// Returns the best backup engine other than `first` and `also`. The backup of a session in a
-    /// remote zone is placed in the local zone if there is room, since the remote zone may be cut
-    /// off.
+    /// Returns the engine with the most free memory other than `first` and `also`. The backup of a
+    /// session in a remote zone is placed in the local zone if there is room, since the remote
+    /// zone may be cut off.
     fn choose_backup_excluding(
         &mut self,
         now: Now,
--- a/crates/core/src/gateway/gateway_control/incarnations.rs
+++ b/crates/core/src/gateway/gateway_control/incarnations.rs
@@ -40,16 +40,16 @@
 
     /// Marks the sessions on an earlier incarnation as orphaned and drops the backups that it held.
     fn mark_orphaned(&mut self, id: &str) {
-        let Some(life) = self.list.replica(id).map(|replica| replica.life()) else {
+        let Some(incarnation) = self.list.replica(id).map(|replica| replica.life()) else {
             return;
         };
         for (request, run) in &mut self.runs {
             let has_backup = run.backup.as_deref() == Some(id) && run.moving == Moving::Stays;
-            if has_backup && run.backup_life != Some(life) {
+            if has_backup && run.backup_life != Some(incarnation) {
                 run.backup = None;
             }
-            if run.replica == id && run.life.is_some_and(|known| known != life) {
-                run.life = Some(life);
+            if run.replica == id && run.life.is_some_and(|known| known != incarnation) {
+                run.life = Some(incarnation);
                 self.orphaned.push(request.clone());
             }
         }
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -42,13 +42,13 @@
     pub fn apply_peer_limits(
         &mut self,
         now: Now,
-        told: Vec<ToldLimit>,
+        advertised: Vec<ToldLimit>,
     ) -> Vec<(ServerLife, LimitChange)> {
         let mut changes = Vec::new();
-        for told in told {
+        for advertised in advertised {
             let earned = self.chance();
-            let change = self.limits.hear_told(now, &told, earned);
-            changes.extend(change.map(|change| (told.server, change)));
+            let change = self.limits.hear_told(now, &advertised, earned);
+            changes.extend(change.map(|change| (advertised.server, change)));
         }
         changes
     }
@@ -63,12 +63,12 @@
     /// advertised theirs since the limit was named, because it is new or they are silent, are
     /// assumed to have the same demand as this one.
     pub fn wanted_by_others(&self, now: Now, server: &ServerLife) -> RequestRate {
-        let told = self.peers.wanted_of(&server.id);
+        let advertised = self.peers.wanted_of(&server.id);
         let Some(since) = self.limits.limited_since(server.life) else {
-            return told;
+            return advertised;
         };
         let own = self.limits.wanted(now, server.life);
-        told.plus(own.times(self.peers.unheard_since(since)))
+        advertised.plus(own.times(self.peers.unheard_since(since)))
     }
 
     /// Returns the known limits of servers.
@@ -135,8 +135,8 @@
             Some((left, replica.life()))
         });
         let first = turns.min_by_key(|(left, _)| *left);
-        if let Some((left, life)) = first {
-            self.limits.await_turn(now, life, left);
+        if let Some((left, incarnation)) = first {
+            self.limits.await_turn(now, incarnation, left);
         }
         let left = first.map_or(MIN_RETRY_AFTER, |(left, _)| left);
         Refusal::limited(&ask.service, left.max(MIN_RETRY_AFTER))
@@ -155,7 +155,8 @@
             return;
         }
         let listed = self.list.lives();
-        self.limits.expire(now, |life| listed.contains(&life));
+        self.limits
+            .expire(now, |incarnation| listed.contains(&incarnation));
     }
 
     /// Counts a request towards the demand for a server; returns whether it may be sent now.
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -40,9 +40,9 @@
 
 impl SendRestrictions {
     /// Returns when the backoff of an incarnation ends, if it is backing off now.
-    pub fn backoff_until(&self, now: Now, life: LifeId) -> Option<Now> {
+    pub fn backoff_until(&self, now: Now, incarnation: LifeId) -> Option<Now> {
         self.resting
-            .get(&life)
+            .get(&incarnation)
             .copied()
             .filter(|until| now < *until)
     }
@@ -57,31 +57,31 @@
 }
 
 impl ServerBackoffs {
-    pub(super) fn may_send(&self, now: Now, life: LifeId) -> bool {
-        let rest = self.by_incarnation.get(&life);
-        rest.is_none_or(|rest| rest.may_send(now))
+    pub(super) fn may_send(&self, now: Now, incarnation: LifeId) -> bool {
+        let backoff = self.by_incarnation.get(&incarnation);
+        backoff.is_none_or(|backoff| backoff.may_send(now))
     }
 
-    pub(super) fn rests(&self, now: Now, life: LifeId) -> bool {
-        let rest = self.by_incarnation.get(&life);
-        rest.is_some_and(|rest| !rest.left(now).is_zero())
+    pub(super) fn is_backing_off(&self, now: Now, incarnation: LifeId) -> bool {
+        let backoff = self.by_incarnation.get(&incarnation);
+        backoff.is_some_and(|backoff| !backoff.left(now).is_zero())
     }
 
-    pub(super) fn sent(&mut self, now: Now, life: LifeId, request: &str) {
-        if let Some(rest) = self.by_incarnation.get_mut(&life) {
-            rest.sent(now, request);
+    pub(super) fn sent(&mut self, now: Now, incarnation: LifeId, request: &str) {
+        if let Some(backoff) = self.by_incarnation.get_mut(&incarnation) {
+            backoff.sent(now, request);
         }
     }
 
     pub(super) fn gone(&mut self, request: &str) {
-        for rest in self.by_incarnation.values_mut() {
-            rest.gone(request);
+        for backoff in self.by_incarnation.values_mut() {
+            backoff.gone(request);
         }
     }
 
     pub(super) fn served(&mut self, request: &str) {
         self.by_incarnation
-            .retain(|_, rest| !rest.is_over_by(request));
+            .retain(|_, backoff| !backoff.is_over_by(request));
     }
 }
 
@@ -89,48 +89,52 @@
     /// Applies a server notice from an answer; returns the session moves that follow from it. A
     /// late notice of an earlier incarnation does not affect the listed one. A notice of an
     /// incarnation that is not listed is kept, since the list may be late.
-    pub fn noticed(
+    pub fn observe_notice(
         &mut self,
         now: Now,
         server: &ServerLife,
         notice: &ServerNotice,
     ) -> Option<Vec<Evacuation>> {
-        if let Some(rest) = notice.rest() {
-            let known = self.rests.by_incarnation.entry(server.life).or_default();
-            known.asked(now, rest);
-            self.rests.version += 1;
+        if let Some(backoff) = notice.rest() {
+            let known = self.backoffs.by_incarnation.entry(server.life).or_default();
+            known.asked(now, backoff);
+            self.backoffs.version += 1;
         }
         match notice.is_leaving {
-            true => self.leaves(now, server, true),
+            true => self.report_draining(now, server, true),
             false => None,
         }
     }
 
     /// Increases whenever the send restrictions change, except when a backoff ends.
     pub fn restrictions_version(&self) -> u64 {
-        self.rests.version + self.limits.version() + self.list.leaving_version()
+        self.backoffs.version + self.limits.version() + self.list.leaving_version()
     }
 
     /// Returns the current send restrictions.
     pub fn send_restrictions(&self, now: Now) -> SendRestrictions {
-        let rests = self.rests.by_incarnation.iter();
-        let resting = rests.filter(|(_, rest)| !rest.left(now).is_zero());
+        let backoffs = self.backoffs.by_incarnation.iter();
+        let resting = backoffs.filter(|(_, backoff)| !backoff.left(now).is_zero());
         SendRestrictions {
             leaving: self.list.lives_that_leave(now),
-            resting: resting.map(|(life, rest)| (*life, rest.until())).collect(),
+            resting: resting
+                .map(|(incarnation, backoff)| (*incarnation, backoff.until()))
+                .collect(),
             limited: self.limits.lives(),
         }
     }
 
     /// Returns the number of backend servers that are backing off now.
     pub fn resting(&self, now: Now) -> usize {
-        let rests = self.rests.by_incarnation.values();
-        rests.filter(|rest| !rest.left(now).is_zero()).count()
+        let backoffs = self.backoffs.by_incarnation.values();
+        backoffs
+            .filter(|backoff| !backoff.left(now).is_zero())
+            .count()
     }
 
     /// Returns whether the backoff of a replica, if any, permits sending a request.
     pub(super) fn backoff_permits(&self, now: Now, replica: &Replica) -> bool {
-        self.rests.may_send(now, replica.life())
+        self.backoffs.may_send(now, replica.life())
     }
 
     /// Returns the Retry-After for a request that could not be placed or sent: `otherwise` if a
@@ -158,11 +162,11 @@
         let serving = self.list.serving(now).filter(|r| r.service == ask.service);
         let open = serving.filter(|r| self.is_open(r) && self.is_in_home_region(r, ask));
         let left = |replica: &Replica| {
-            let rest = self.rests.by_incarnation.get(&replica.life())?;
-            match rest.left(now) {
+            let backoff = self.backoffs.by_incarnation.get(&replica.life())?;
+            match backoff.left(now) {
                 left if !left.is_zero() => Some(left),
                 // A trial request is in flight.
-                _ if !rest.may_send(now) => Some(FULL_RETRY_AFTER),
+                _ if !backoff.may_send(now) => Some(FULL_RETRY_AFTER),
                 _ => None,
             }
         };
@@ -183,11 +187,13 @@
 
     /// Removes expired backoffs of incarnations that are no longer listed.
     pub(super) fn forget_backoffs(&mut self, now: Now) {
-        if self.rests.by_incarnation.is_empty() {
+        if self.backoffs.by_incarnation.is_empty() {
             return;
         }
         let listed = self.list.lives();
-        let rests = &mut self.rests.by_incarnation;
-        rests.retain(|life, rest| listed.contains(life) || !rest.left(now).is_zero());
+        let backoffs = &mut self.backoffs.by_incarnation;
+        backoffs.retain(|incarnation, backoff| {
+            listed.contains(incarnation) || !backoff.left(now).is_zero()
+        });
     }
 }
--- a/crates/core/src/gateway/gateway_control/ranking.rs
+++ b/crates/core/src/gateway/gateway_control/ranking.rs
@@ -19,8 +19,8 @@
 const MAX_RANKED: usize = 4;
 
 impl GatewayControl {
-    /// Returns the best `MAX_RANKED` replicas. If the first one is in a remote zone, the best of the
-    /// local zone is placed second, since the remote zone may be cut off.
+    /// Returns the best `MAX_RANKED` replicas. If the first one is in a remote zone, the best of
+    /// the local zone is placed second, since the remote zone may be cut off.
     pub(super) fn ranked(&self, scores: Vec<ReplicaScore>) -> Vec<Replica> {
         let scores = scores.into_iter();
         let mut replicas: Vec<Replica> = scores.map(|score| score.replica).collect();
--- a/crates/core/src/gateway/gateway_control/server_list.rs
+++ b/crates/core/src/gateway/gateway_control/server_list.rs
@@ -34,8 +34,8 @@
     }
 
     /// Applies the list of another instance; returns the session moves that follow.
-    pub fn apply_peer_list(&mut self, now: Now, told: ToldList) -> Vec<Evacuation> {
-        self.list.hear(now, told);
+    pub fn apply_peer_list(&mut self, now: Now, advertised: ToldList) -> Vec<Evacuation> {
+        self.list.hear(now, advertised);
         self.replicas_changed(now)
     }
 
--- a/crates/core/src/gateway/placement_request.rs
+++ b/crates/core/src/gateway/placement_request.rs
@@ -9,16 +9,16 @@
 use crate::RequestClass;
 use crate::RequestId;
 
-/// A request to be placed on a backend server.
+/// A request that needs a backend server.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// ID of the request.
+    /// The request.
     pub request: RequestId,
     /// Digest of the content of the request.
     pub fingerprint: Fingerprint,
-    /// Service that handles the request.
+    /// Service that runs it.
     pub service: String,
-    /// Class of the request: determines whether it may be retried, restarted or failed over.
+    /// What may be done after a failure.
     pub class: RequestClass,
     /// Length of the prompt in tokens; 0 if the service is not an engine.
     pub prompt_tokens: u32,
@@ -79,11 +79,12 @@
 /// How the run of a request on a backend server ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
-    /// The server answered; an answer that reports an error of the service counts as well.
+    /// It was answered; an answer that reports an error of the service's own
+    /// counts as well.
     Answered,
     /// The server closed the connection, stalled or sent an invalid answer.
     Failed,
-    /// The server refused the request for lack of capacity.
+    /// The backend server refused for lack of room.
     Refused,
     /// The run ended without a server fault: the caller disconnected or the deadline passed.
     Withdrawn,
--- a/crates/core/tests/event_order.rs
+++ b/crates/core/tests/event_order.rs
@@ -1,4 +1,4 @@
-//! Events of a stream that one engine after the other makes.
+//! Order of the events of a stream that one engine after another generates.
 
 use iristhread_core::EventOrder;
 use iristhread_core::EventVerdict;
@@ -7,14 +7,14 @@
 use iristhread_core::EventVerdict::Repeated;
 use test_case::test_case;
 
-/// Ids of the first engine, then of the one that continues, and what becomes
-/// of the latter.
-#[test_case(&[1, 2, 3], &[4, 5], &[Deliver, Deliver]; "it goes on")]
-#[test_case(&[1, 2, 3], &[2, 3, 4], &[Repeated, Repeated, Deliver]; "it repeats some")]
-#[test_case(&[1, 2, 3], &[5], &[Missing]; "it skips one")]
-#[test_case(&[1, 2, 3], &[3, 5], &[Repeated, Missing]; "it repeats one and skips one")]
+/// IDs from the first engine, IDs from the engine that continues, and the expected verdicts on the
+/// latter.
+#[test_case(&[1, 2, 3], &[4, 5], &[Deliver, Deliver]; "continues with the next id")]
+#[test_case(&[1, 2, 3], &[2, 3, 4], &[Repeated, Repeated, Deliver]; "repeats some events")]
+#[test_case(&[1, 2, 3], &[5], &[Missing]; "skips one event")]
+#[test_case(&[1, 2, 3], &[3, 5], &[Repeated, Missing]; "repeats one and skips one event")]
 #[test_case(&[10, 20, 30], &[40], &[Deliver]; "ids grow by ten")]
-#[test_case(&[10, 20, 30], &[50], &[Missing]; "it skips one of ten")]
+#[test_case(&[10, 20, 30], &[50], &[Missing]; "skips one id in steps of ten")]
 #[test_case(&[1, 4, 5], &[9], &[Deliver]; "ids grow unevenly")]
 #[test_case(&[1], &[2], &[Deliver]; "after one event")]
 #[test_case(&[], &[1, 2], &[Deliver, Deliver]; "before the first event")]
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_engine_is_trusted_with_its_own_order() {
+fn ids_of_a_single_engine_may_grow_unevenly() {
     let mut order = EventOrder::default();
     for id in [1, 2, 7, 8] {
         assert_eq!(order.next(Some(id)), Deliver);
@@ -39,11 +39,11 @@
     assert_eq!(order.last(), 8);
 }
 
-/// What the caller holds, ids of the engine, and what becomes of them.
-#[test_case(25, &[26, 27], &[Deliver, Deliver]; "the engine goes on")]
-#[test_case(25, &[1, 2, 25, 26], &[Repeated, Repeated, Repeated, Deliver]; "the engine begins anew")]
+/// Last event that the caller holds, IDs from the engine, and the expected verdicts.
+#[test_case(25, &[26, 27], &[Deliver, Deliver]; "the engine continues")]
+#[test_case(25, &[1, 2, 25, 26], &[Repeated, Repeated, Repeated, Deliver]; "the engine starts over")]
 #[test_case(0, &[1, 2], &[Deliver, Deliver]; "the caller holds nothing")]
-fn a_caller_that_comes_back(held: u64, ids: &[u64], expected: &[EventVerdict]) {
+fn a_caller_that_reconnects(held: u64, ids: &[u64], expected: &[EventVerdict]) {
     let mut order = EventOrder::after(held);
     assert_eq!(order.last(), held);
     let verdicts: Vec<EventVerdict> = ids.iter().map(|id| order.next(Some(*id))).collect();
--- a/crates/core/tests/gateway_carrying.rs
+++ b/crates/core/tests/gateway_carrying.rs
@@ -1,5 +1,4 @@
-//! Where sessions keep copies, and where they go when their engine leaves or
-//! breaks off.
+//! Placement of backups, and failover, restart and moves of sessions whose engine fails or drains.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -28,17 +27,17 @@
 const ZERO: Duration = Duration::ZERO;
 
 #[test]
-fn a_copy_is_kept_on_another_engine() {
+fn the_backup_is_on_another_engine() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     for number in 0..6 {
         let ranking = control.place(ZERO, ask(&format!("r{number}"))).unwrap();
-        let backup = ranking.backup.expect("there is room for copies");
+        let backup = ranking.backup.expect("there is room for backups");
         assert_ne!(backup.id, ranking.replicas[0].id);
     }
 }
 
 #[test]
-fn short_answers_and_plain_calls_get_no_copy() {
+fn short_answers_and_plain_calls_get_no_backup() {
     let mut control = control_with(&["e1", "e2"]);
     let mut short = ask("short");
     short.expected_tokens = Some(12);
@@ -49,19 +48,19 @@
 }
 
 #[test]
-fn a_session_goes_on_at_its_copy() {
+fn a_session_fails_over_to_its_backup() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(ZERO, ask("r1")).unwrap();
     let target = control.fail_over(ms(10), "r1").unwrap();
     assert_eq!(target.replica.id, ranking.backup.unwrap().id);
     assert_eq!(target.from, ranking.replicas[0].id);
-    let next = target.backup.expect("a new copy is kept");
+    let next = target.backup.expect("a new backup is chosen");
     assert_ne!(next.id, target.replica.id);
     assert_ne!(next.id, target.from);
 }
 
 #[test]
-fn a_copy_that_could_not_be_used_is_not_tried_again() {
+fn an_unusable_backup_is_not_tried_again() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(ZERO, ask("r1")).unwrap();
     let first = ranking.replicas[0].id.clone();
@@ -72,32 +71,32 @@
 }
 
 #[test]
-fn no_copy_means_no_place_to_go_on() {
+fn without_a_backup_there_is_no_failover() {
     let mut control = control_with(&["e1"]);
     assert!(control.place(ZERO, ask("r1")).unwrap().backup.is_none());
     assert!(control.fail_over(ZERO, "r1").is_none());
 }
 
 #[test]
-fn sessions_without_a_copy_move_off_a_leaving_engine() {
+fn sessions_without_a_backup_move_off_a_draining_engine() {
     let mut control = control_with(&["e1"]);
     control.place(ZERO, ask("r1")).unwrap();
-    let news = vec![
+    let changes = vec![
         ReplicaChange::Listed(engine("e2", "z1")),
         ReplicaChange::Listed(leaving("e1", "z1")),
     ];
-    let evacuations = control.change_replicas(ZERO, 2, news);
+    let evacuations = control.change_replicas(ZERO, 2, changes);
     assert_eq!(evacuations.len(), 1);
     assert_eq!(evacuations[0].target.id, "e2");
     let again = vec![ReplicaChange::Listed(leaving("e1", "z1"))];
     assert!(
         control.change_replicas(ZERO, 3, again).is_empty(),
-        "it moves already"
+        "the session is moving already"
     );
 }
 
 #[test]
-fn a_session_whose_copy_leaves_first_moves_when_its_engine_does() {
+fn a_session_that_lost_its_backup_moves_when_its_engine_drains() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(ZERO, ask("r1")).unwrap();
     let (engine, backup) = (&ranking.replicas[0].id, ranking.backup.unwrap().id);
@@ -110,10 +109,10 @@
     assert_ne!(evacuations[0].target.id, backup);
 }
 
-/// Instances that move sessions off one engine at the same moment must not all
-/// choose the same target, where their copies would wait for each other.
+/// Instances that move sessions off one engine at the same time must not all choose the same
+/// target, where the copies would wait for each other.
 #[test]
-fn moves_at_one_moment_spread_over_engines() {
+fn simultaneous_moves_spread_over_engines() {
     let mut targets = BTreeSet::new();
     for seed in 0..20 {
         let mut control = GatewayControl::new(GatewayParameters { seed, ..terms() });
@@ -142,35 +141,35 @@
     let mut short = ask("r1");
     short.expected_tokens = Some(10);
     control.place(ZERO, short).unwrap();
-    let news = |revision| {
+    let changes_at = |revision| {
         let leaves = vec![
             ReplicaChange::Listed(engine("e2", "z1")),
             ReplicaChange::Listed(leaving("e1", "z1")),
         ];
         (revision, leaves)
     };
-    let (revision, changes) = news(2);
+    let (revision, changes) = changes_at(2);
     assert!(control.change_replicas(ZERO, revision, changes).is_empty());
     control.progress(ms(0), "r1", 200);
-    let (revision, changes) = news(3);
+    let (revision, changes) = changes_at(3);
     let evacuations = control.change_replicas(ZERO, revision, changes);
-    assert_eq!(evacuations.len(), 1, "it is longer than it seemed");
+    assert_eq!(evacuations.len(), 1, "the answer is longer than expected");
 }
 
 #[test]
-fn an_engine_that_breaks_off_during_a_move_leaves_no_copy() {
+fn an_engine_that_fails_during_a_move_leaves_no_backup() {
     let mut control = control_with(&["e1"]);
     control.place(ZERO, ask("r1")).unwrap();
-    let news = vec![
+    let changes = vec![
         ReplicaChange::Listed(engine("e2", "z1")),
         ReplicaChange::Listed(leaving("e1", "z1")),
     ];
-    assert_eq!(control.change_replicas(ZERO, 2, news).len(), 1);
+    assert_eq!(control.change_replicas(ZERO, 2, changes).len(), 1);
     assert!(control.fail_over(ZERO, "r1").is_none());
 }
 
 #[test]
-fn a_move_tries_other_engines_and_those_of_its_zone_first() {
+fn a_move_prefers_untried_engines_of_the_same_zone() {
     let mut control = control();
     control.offer_config(Arc::new(config(1)));
     let engines = vec![engine("e1", "z2"), engine("e2", "z2"), engine("e3", "z1")];
@@ -190,7 +189,7 @@
 }
 
 #[test]
-fn a_session_in_another_zone_keeps_its_copy_in_this_one() {
+fn a_session_in_a_remote_zone_has_its_backup_in_the_local_zone() {
     let mut control = control();
     control.offer_config(Arc::new(config(1)));
     let engines = vec![
@@ -206,7 +205,7 @@
 }
 
 #[test]
-fn sessions_stay_where_engines_can_t_move_them() {
+fn sessions_stay_on_engines_that_can_t_move_them() {
     let mut control = control_with(&["e1", "e2"]);
     let mut fixed = config(2);
     if let Some(engine) = &mut fixed.services[0].engine {
@@ -223,12 +222,12 @@
 }
 
 #[test]
-fn a_stream_is_run_again_elsewhere_for_a_retry() {
+fn a_restart_uses_another_engine() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     let mut long = ask("r1");
     long.prompt_tokens = 8_000;
     let ranking = control.place(ZERO, long).unwrap();
-    assert!(ranking.backup.is_none(), "too large for a copy");
+    assert!(ranking.backup.is_none(), "too large for a backup");
     let target = control.restart_stream(ms(10), "r1").unwrap();
     assert_eq!(target.from, ranking.replicas[0].id);
     assert_ne!(target.replica.id, target.from);
@@ -236,7 +235,7 @@
 }
 
 #[test]
-fn a_stream_is_not_run_again_without_a_retry_left() {
+fn a_restart_needs_retry_budget() {
     let mut control = GatewayControl::new(GatewayParameters {
         retry_ratio: 0.0,
         retry_extra: 0.0,
@@ -250,10 +249,10 @@
     assert_eq!(control.shares()[&ranking.replicas[0].id].requests, 1);
 }
 
-/// Engines that have just come are empty; their room is for sessions while the
-/// others have none.
+/// Engines that have just started are empty; their room is reserved for sessions while the other
+/// engines are full.
 #[test]
-fn no_copy_is_kept_on_an_empty_engine_while_the_others_are_full() {
+fn no_backup_on_an_empty_engine_while_the_others_are_full() {
     let full = ["e3", "e4", "e5", "e6", "e7", "e8"];
     let mut control = control_with(&["e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"]);
     let load = |session_tokens| LoadShare {
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -1,4 +1,4 @@
-//! Backend servers that are cold bear few requests, summed over all instances.
+//! Cold backend servers get few requests, summed over all instances.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -28,11 +28,11 @@
 use iristhread_core::ZoneDigest;
 use test_case::test_case;
 
-/// Requests a second that a cold engine of the scene bears.
-const BEARS_PER_S: f64 = 27.0;
+/// Requests per second that a cold engine can handle in these tests.
+const COLD_CAPACITY_PER_S: f64 = 27.0;
 
-/// The users' bound: half as much again, and five, within one second.
-const MOST_IN_A_SECOND: usize = 45;
+/// Required bound: 1.5 times the capacity plus five requests within one second.
+const MAX_PER_SECOND: usize = 45;
 
 const START: Now = Duration::from_secs(10);
 
@@ -46,7 +46,7 @@
 fn bounded_config() -> Arc<GatewayConfig> {
     let mut config = config(1);
     for service in &mut config.services {
-        service.cold_per_s = BEARS_PER_S;
+        service.cold_per_s = COLD_CAPACITY_PER_S;
     }
     Arc::new(config)
 }
@@ -55,9 +55,9 @@
     format!("z{}", own % zones)
 }
 
-/// An instance that hears those of its zone itself and the other zones in `heard` as
-/// sums.
-fn instance(own: usize, count: usize, zones: usize, heard: &[usize]) -> GatewayControl {
+/// An instance that receives the load of its own zone directly and the zones in `received` as
+/// aggregates.
+fn instance(own: usize, count: usize, zones: usize, received: &[usize]) -> GatewayControl {
     let zone = zone_of(own, zones);
     let mut control = GatewayControl::new(GatewayParameters {
         instance: format!("i{own}"),
@@ -66,7 +66,7 @@
         ..terms()
     });
     control.offer_config(bounded_config());
-    let mut tell = |from: usize, digest: Option<ZoneDigest>| {
+    let mut receive_load = |from: usize, digest: Option<ZoneDigest>| {
         control.apply_peer_load(
             START,
             ToldLoads {
@@ -81,19 +81,22 @@
     };
     for other in (0..count).filter(|other| *other != own) {
         if zone_of(other, zones) == zone {
-            tell(other, None);
+            receive_load(other, None);
         }
     }
-    for far in heard.iter().filter(|far| zone_of(**far, zones) != zone) {
+    for remote in received
+        .iter()
+        .filter(|remote| zone_of(**remote, zones) != zone)
+    {
         let instances = (count / zones) as u32;
         let shares = BTreeMap::new();
-        tell(*far, Some(ZoneDigest { instances, shares }));
+        receive_load(*remote, Some(ZoneDigest { instances, shares }));
     }
     control
 }
 
-/// Most sends to one engine within a second, of requests that come every 20 ms to each
-/// instance for three seconds.
+/// Returns the maximum number of sends per engine within one second. Each instance gets a request
+/// every 20 ms for three seconds.
 fn busiest_second(fleet: &mut [GatewayControl], servers: &[Replica]) -> BTreeMap<String, usize> {
     for control in fleet.iter_mut() {
         control.offer_replicas(START, 1, servers.to_vec());
@@ -101,7 +104,7 @@
     let mut sends: BTreeMap<String, Vec<Now>> = BTreeMap::new();
     for step in 0..150_u64 {
         for (number, control) in fleet.iter_mut().enumerate() {
-            // Instances act at moments of their own.
+            // Instances act at different offsets.
             let now = START + ms(step * 20 + number as u64 % 20);
             let request = format!("r{number}-{step}");
             let call = PlacementRequest {
@@ -135,34 +138,34 @@
 #[test_case(9, 3; "nine instances")]
 #[test_case(66, 3; "66 instances")]
 #[test_case(300, 5; "300 instances")]
-fn one_cold_engine_left_for_a_hot_service(count: usize, zones: usize) {
+fn a_single_cold_engine_under_high_load(count: usize, zones: usize) {
     let relays: Vec<usize> = (0..zones).collect();
     let mut fleet: Vec<GatewayControl> = (0..count)
         .map(|own| instance(own, count, zones, &relays))
         .collect();
     let most = busiest_second(&mut fleet, &[cold("e1", "z0", 60_000)]);
-    assert!(most["e1"] <= MOST_IN_A_SECOND, "{most:?}");
-    assert!(most["e1"] >= 4, "it is used: {most:?}");
+    assert!(most["e1"] <= MAX_PER_SECOND, "{most:?}");
+    assert!(most["e1"] >= 4, "the engine is not used: {most:?}");
 }
 
-/// A zone is cut off: neither side hears the other, and both see the engine.
+/// A network partition: neither side receives the load of the other, and both reach the engine.
 #[test_case(66, 3; "66 instances")]
 #[test_case(300, 5; "300 instances")]
-fn a_fleet_in_two_parts(count: usize, zones: usize) {
+fn a_partition_in_two(count: usize, zones: usize) {
     let relays: Vec<usize> = (1..zones).collect();
     let mut fleet: Vec<GatewayControl> = (0..count)
         .map(|own| {
-            let heard: &[usize] = if own % zones == 0 { &[] } else { &relays };
-            instance(own, count, zones, heard)
+            let received: &[usize] = if own % zones == 0 { &[] } else { &relays };
+            instance(own, count, zones, received)
         })
         .collect();
     let most = busiest_second(&mut fleet, &[cold("e1", "z0", 60_000)]);
-    assert!(most["e1"] <= MOST_IN_A_SECOND, "{most:?}");
+    assert!(most["e1"] <= MAX_PER_SECOND, "{most:?}");
 }
 
-/// A whole zone comes back cold while the others burst.
+/// All servers of a zone restart cold during a burst of requests.
 #[test]
-fn a_zone_comes_back_cold() {
+fn a_zone_restarts_cold() {
     let mut fleet: Vec<GatewayControl> = (0..66)
         .map(|own| instance(own, 66, 3, &[0, 1, 2]))
         .collect();
@@ -172,7 +175,7 @@
     servers.push(engine("warm", "z1"));
     let most = busiest_second(&mut fleet, &servers);
     for (id, most) in most.iter().filter(|(id, _)| *id != "warm") {
-        assert!(*most <= MOST_IN_A_SECOND, "{id}: {most}");
+        assert!(*most <= MAX_PER_SECOND, "{id}: {most}");
     }
 }
 
@@ -188,7 +191,7 @@
 }
 
 #[test]
-fn a_server_that_is_warm_gets_everything() {
+fn a_warm_server_is_not_limited() {
     let mut control = instance(0, 1, 1, &[]);
     control.offer_replicas(START, 1, vec![cold("e1", "z0", 1_000)]);
     let later = START + ms(1_001);
@@ -198,34 +201,34 @@
 }
 
 #[test]
-fn a_server_that_turns_cold_again_is_spared() {
+fn a_server_that_turns_cold_again_is_limited() {
     let mut control = instance(0, 1, 1, &[]);
     control.offer_replicas(START, 1, vec![engine("e1", "z0")]);
     control.place(START, ask("r1")).unwrap();
-    let news = vec![ReplicaChange::Listed(cold("e1", "z0", 3_000))];
-    control.change_replicas(START, 2, news);
+    let changes = vec![ReplicaChange::Listed(cold("e1", "z0", 3_000))];
+    control.change_replicas(START, 2, changes);
     control.place(START, ask("r2")).unwrap();
     assert!(control.place(START + ms(10), ask("r3")).is_err());
 }
 
-/// Sessions that move count like all others.
+/// Session moves count towards the limit of a cold engine.
 #[test]
 fn a_session_that_moves_to_a_cold_engine_counts() {
     let mut control = instance(0, 1, 1, &[]);
     control.offer_replicas(START, 1, vec![engine("e1", "z0")]);
     control.place(START, ask("r1")).unwrap();
-    let news = vec![
+    let changes = vec![
         ReplicaChange::Listed(gateway_scene::leaving("e1", "z0")),
         ReplicaChange::Listed(cold("e2", "z0", 9_000)),
     ];
-    let moves = control.change_replicas(START, 2, news);
+    let moves = control.change_replicas(START, 2, changes);
     assert_eq!(moves[0].target.id, "e2");
     assert!(control.place(START + ms(10), ask("r2")).is_err());
     control.place(START + ms(1_000), ask("r3")).unwrap();
 }
 
 #[test]
-fn the_same_entry_read_again_is_not_cold_anew() {
+fn an_unchanged_entry_does_not_extend_the_warm_up() {
     let mut list = ReplicaList::default();
     let entry = cold("e1", "z0", 3_000);
     list.snapshot(START, 1, vec![entry.clone()]);
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn what_is_told_of_a_cold_server_grows_older() {
+fn the_advertised_warm_up_decreases_with_time() {
     let mut list = ReplicaList::default();
     list.snapshot(START, 1, vec![cold("e1", "z0", 3_000)]);
     let mut other = ReplicaList::default();
--- a/crates/core/tests/gateway_ending.rs
+++ b/crates/core/tests/gateway_ending.rs
@@ -1,5 +1,5 @@
-//! Requests that end the backend servers that run them: which ends the gateway's decisions
-//! put down to which request, and that whatever would send such a request on asks first.
+//! Poison requests: the gateway must attribute server crashes to the right requests, and must check
+//! the quarantine before a request is sent on in any way.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -32,17 +32,17 @@
 
 const ENGINES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// A request with the content at fault.
-fn again(request: &str) -> PlacementRequest {
+/// A request with the fingerprint that crashes engines.
+fn poison(request: &str) -> PlacementRequest {
     PlacementRequest {
         fingerprint: fingerprint("the content at fault"),
         ..ask(request)
     }
 }
 
-/// It is sent, and the engine that runs it ends; returns which.
-fn ends_its_engine(control: &mut GatewayControl, now: Now, request: &str) -> String {
-    let ranking = control.place(now, again(request)).unwrap();
+/// Sends a poison request that crashes its engine; returns the ID of the engine.
+fn crash_engine(control: &mut GatewayControl, now: Now, request: &str) -> String {
+    let ranking = control.place(now, poison(request)).unwrap();
     let replica = &ranking.replicas[0];
     control.note_broken_run(now + ms(100), request, replica);
     control.server_ended(now + ms(102), &replica.server_life());
@@ -50,26 +50,26 @@
     replica.id.clone()
 }
 
-fn three_ends(control: &mut GatewayControl) {
+fn crash_three_engines(control: &mut GatewayControl) {
     for number in 0..3 {
-        ends_its_engine(control, NOW + ms(number * 500), &format!("end-{number}"));
+        crash_engine(control, NOW + ms(number * 500), &format!("end-{number}"));
     }
 }
 
 fn refusal(control: &mut GatewayControl, now: Now) -> Option<RefusalKind> {
-    let placed = control.place(now, again("one more"));
+    let placed = control.place(now, poison("one more"));
     placed.err().map(|refusal| refusal.kind)
 }
 
 #[test_case(RequestClass::Stream)]
 #[test_case(RequestClass::Repeatable)]
 #[test_case(RequestClass::Once)]
-fn it_is_refused_at_once_after_three_ends(class: RequestClass) {
+fn a_poison_request_is_refused_after_three_crashes(class: RequestClass) {
     let mut control = control_with(&ENGINES);
-    three_ends(&mut control);
+    crash_three_engines(&mut control);
     let call = PlacementRequest {
         class,
-        ..again("one more")
+        ..poison("one more")
     };
     let refusal = control.place(NOW + ms(2_000), call).unwrap_err();
     assert_eq!(refusal.kind, RefusalKind::Quarantined);
@@ -78,41 +78,41 @@
 }
 
 #[test]
-fn one_that_runs_is_taken_nowhere_else() {
+fn a_running_poison_request_is_not_sent_elsewhere() {
     let mut control = control_with(&ENGINES);
-    let ranking = control.place(NOW, again("running")).unwrap();
+    let ranking = control.place(NOW, poison("running")).unwrap();
     assert!(ranking.backup.is_some());
     assert!(control.may_resend("running"));
-    three_ends(&mut control);
+    crash_three_engines(&mut control);
     let now = NOW + ms(2_000);
-    assert!(!control.may_resend("running"), "a further try");
-    assert!(control.fail_over(now, "running").is_none(), "a copy");
+    assert!(!control.may_resend("running"), "a retry");
+    assert!(control.fail_over(now, "running").is_none(), "a failover");
     assert!(
         control.restart_stream(now, "running").is_none(),
-        "a second run"
+        "a restart"
     );
     assert!(control.evacuate(now, "running", &[]).is_none(), "a move");
 }
 
-/// It is on its way when the same content ends engines elsewhere: its own has shown that
-/// it does not.
+/// A request that made progress for long enough before others with the same fingerprint crashed
+/// engines is known to run well.
 #[test]
-fn one_that_went_well_goes_on() {
+fn a_request_that_ran_well_may_fail_over() {
     let mut control = control_with(&ENGINES);
-    control.place(NOW, again("running")).unwrap();
+    control.place(NOW, poison("running")).unwrap();
     control.progress(NOW + ms(100), "running", 4);
     control.progress(NOW + ms(1_200), "running", 200);
-    three_ends(&mut control);
+    crash_three_engines(&mut control);
     assert!(control.may_resend("running"));
     assert!(control.fail_over(NOW + ms(2_000), "running").is_some());
 }
 
 #[test]
-fn an_end_after_a_second_is_not_its_doing() {
+fn a_crash_after_a_second_of_progress_is_not_attributed() {
     let mut control = control_with(&ENGINES);
     for number in 0..4 {
         let (now, request) = (NOW + ms(number * 2_000), format!("r{number}"));
-        let ranking = control.place(now, again(&request)).unwrap();
+        let ranking = control.place(now, poison(&request)).unwrap();
         control.progress(now + ms(50), &request, 4);
         control.note_broken_run(now + ms(1_100), &request, &ranking.replicas[0]);
         control.server_ended(now + ms(1_100), &ranking.replicas[0].server_life());
@@ -121,13 +121,13 @@
     assert_eq!(refusal(&mut control, NOW + ms(9_000)), None);
 }
 
-/// Connections break, and answers are cut, at engines that live on.
+/// Connections break and answers are cut while the engines keep running.
 #[test]
-fn a_break_alone_is_no_end() {
+fn a_lost_connection_alone_is_not_a_crash() {
     let mut control = control_with(&ENGINES);
     for number in 0..6 {
         let (now, request) = (NOW + ms(number * 300), format!("r{number}"));
-        let ranking = control.place(now, again(&request)).unwrap();
+        let ranking = control.place(now, poison(&request)).unwrap();
         control.note_broken_run(now + ms(20), &request, &ranking.replicas[0]);
         control.ended(now + ms(20), &request, RunEnd::Failed);
         control.tick(now + ms(20));
@@ -135,13 +135,13 @@
     assert_eq!(refusal(&mut control, NOW + ms(9_000)), None);
 }
 
-/// Engines that are stopped break off what they have not finished.
+/// Engines that are stopped cut the answers that they have not finished.
 #[test]
-fn the_end_of_one_that_leaves_is_nobodys_doing() {
+fn the_end_of_a_draining_engine_is_not_attributed() {
     let mut control = control_with(&ENGINES);
     for number in 0..4 {
         let (now, request) = (NOW + ms(number * 500), format!("r{number}"));
-        let replica = control.place(now, again(&request)).unwrap().replicas[0].clone();
+        let replica = control.place(now, poison(&request)).unwrap().replicas[0].clone();
         let leaves = ReplicaChange::Listed(leaving(&replica.id, "z1"));
         control.change_replicas(now, 2 + number, vec![leaves]);
         control.note_broken_run(now + ms(400), &request, &replica);
@@ -150,43 +150,43 @@
     assert_eq!(refusal(&mut control, NOW + ms(5_000)), None);
 }
 
-fn back(id: &str, born_ms: u64) -> Replica {
+fn restarted(id: &str, born_ms: u64) -> Replica {
     Replica {
         born_ms: Some(born_ms),
         ..engine(id, "z1")
     }
 }
 
-/// What the list says of an engine that crashed.
+/// Entry of a crashed engine in the list.
 #[derive(Clone, Copy)]
 enum Listed {
     Removed,
     Back,
 }
 
-/// Nobody saw a refused connection: the engine was cut off, or this instance stood still.
-#[test_case(Listed::Removed, false; "its entry goes")]
-#[test_case(Listed::Back, false; "it is back under its id")]
-#[test_case(Listed::Back, true; "it is back before the break is seen")]
-fn the_list_confirms_an_end(listed: Listed, is_first: bool) {
+/// No refused connection was observed, as the engine was cut off or this instance was suspended.
+#[test_case(Listed::Removed, false; "the entry is removed")]
+#[test_case(Listed::Back, false; "the engine restarts under its id")]
+#[test_case(Listed::Back, true; "the engine restarts before the lost connection is seen")]
+fn the_list_confirms_a_crash(listed: Listed, is_first: bool) {
     let mut control = control_with(&[]);
-    let engines = (0..6).map(|number| back(&format!("e{number}"), 1_000));
+    let engines = (0..6).map(|number| restarted(&format!("e{number}"), 1_000));
     control.offer_replicas(NOW, 2, engines.collect());
     for number in 0..3 {
         let (now, request) = (NOW + ms(number * 4_000), format!("r{number}"));
-        let replica = control.place(now, again(&request)).unwrap().replicas[0].clone();
+        let replica = control.place(now, poison(&request)).unwrap().replicas[0].clone();
         let change = match listed {
             Listed::Removed => ReplicaChange::Removed(replica.id.clone()),
-            Listed::Back => ReplicaChange::Listed(back(&replica.id, 2_000 + number)),
+            Listed::Back => ReplicaChange::Listed(restarted(&replica.id, 2_000 + number)),
         };
         if is_first {
             control.change_replicas(now + ms(50), 10 + number, vec![change.clone()]);
         }
         control.note_broken_run(now + ms(100), &request, &replica);
         control.ended(now + ms(100), &request, RunEnd::Failed);
-        // The third end is sure only when the list has told of it.
-        let is_sure = is_first && number == 2;
-        let refused = is_sure.then_some(RefusalKind::Quarantined);
+        // The third crash is confirmed only when the list has changed.
+        let is_confirmed = is_first && number == 2;
+        let refused = is_confirmed.then_some(RefusalKind::Quarantined);
         assert_eq!(refusal(&mut control, now + ms(200)), refused);
         control.ended(now + ms(200), "one more", RunEnd::Withdrawn);
         control.change_replicas(now + ms(3_700), 10 + number, vec![change]);
@@ -195,37 +195,34 @@
     assert_eq!(refusal(&mut control, now), Some(RefusalKind::Quarantined));
 }
 
-/// Two lives under one id are two.
+/// Two incarnations with the same ID count separately.
 #[test]
-fn one_engine_that_comes_back_ends_as_often() {
+fn crashes_of_one_restarting_engine_are_counted() {
     let mut control = control_with(&[]);
     for number in 0..3 {
         let now = NOW + ms(number * 4_000);
-        control.offer_replicas(now, 2 + number, vec![back("e", 1_000 + number)]);
-        assert_eq!(
-            ends_its_engine(&mut control, now, &format!("r{number}")),
-            "e"
-        );
+        control.offer_replicas(now, 2 + number, vec![restarted("e", 1_000 + number)]);
+        assert_eq!(crash_engine(&mut control, now, &format!("r{number}")), "e");
     }
     let now = NOW + ms(12_000);
     assert_eq!(refusal(&mut control, now), Some(RefusalKind::Quarantined));
 }
 
-/// All that runs on an engine is there when it ends: other sessions, which go on at other
-/// engines and may meet the content at fault there again.
+/// All requests on an engine are running there when it crashes. Other sessions fail over to other
+/// engines and may run beside the poison request there again.
 #[test]
-fn sessions_beside_it_are_served_on() {
+fn other_sessions_on_crashed_engines_keep_being_served() {
     let mut control = control_with(&ENGINES);
     let beside = ["s0", "s1", "s2"];
     for number in 0..5 {
         let now = NOW + ms(number * 300);
-        let ranking = control.place(now, again(&format!("end-{number}")));
+        let ranking = control.place(now, poison(&format!("end-{number}")));
         let Ok(ranking) = ranking else {
             break;
         };
         let replica = &ranking.replicas[0];
         for session in beside {
-            // Each was sent there, too.
+            // Each session was sent to the same engine.
             if control.place(now, ask(session)).is_ok() {
                 control.note_broken_run(now + ms(100), session, replica);
             }
@@ -237,8 +234,9 @@
         refusal(&mut control, NOW + ms(5_000)),
         Some(RefusalKind::Quarantined)
     );
-    // One of them was in fewer ends; the others are told from it when it comes again.
-    control.apply_peer_suspects(NOW + ms(5_000), &one_end_more());
+    // One of these sessions was in fewer crashes. The others are distinguished from the poison
+    // request once it crashes one more engine.
+    control.apply_peer_suspects(NOW + ms(5_000), &one_more_crash());
     for session in beside {
         assert!(
             control.place(NOW + ms(5_100), ask(session)).is_ok(),
@@ -247,14 +245,14 @@
     }
 }
 
-/// What another instance saw of the content at fault.
-fn one_end_more() -> Vec<iristhread_core::ToldSuspect> {
+/// Suspicions that another instance advertises after one more crash.
+fn one_more_crash() -> Vec<iristhread_core::ToldSuspect> {
     let mut other = control_with(&["g"]);
-    ends_its_engine(&mut other, NOW + ms(4_000), "elsewhere");
+    crash_engine(&mut other, NOW + ms(4_000), "elsewhere");
     other.advertised_suspects(NOW + ms(4_500))
 }
 
-/// Instances of two zones that hear each other.
+/// Instances of two zones that receive each other's heartbeats.
 fn fleet() -> Vec<GatewayControl> {
     let names = ["i1", "i2", "i3", "i4"];
     let zone = |place: usize| if place < 2 { "z1" } else { "z2" };
@@ -270,13 +268,13 @@
         control.offer_config(std::sync::Arc::new(gateway_scene::config(1)));
         let engines = ENGINES.iter().map(|id| engine(id, "z1"));
         control.offer_replicas(Duration::ZERO, 1, engines.collect());
-        hear_all(&mut control, name, NOW + ms(40_000));
+        receive_all(&mut control, name, NOW + ms(40_000));
         fleet.push(control);
     }
     fleet
 }
 
-fn hear_all(control: &mut GatewayControl, own: &str, now: Now) {
+fn receive_all(control: &mut GatewayControl, own: &str, now: Now) {
     for (place, name) in ["i1", "i2", "i3", "i4"].iter().enumerate() {
         if *name != own {
             let zone = if place < 2 { "z1" } else { "z2" };
@@ -292,9 +290,9 @@
 }
 
 #[test]
-fn one_instance_of_all_tries_it_after_its_quarantine() {
+fn one_instance_probes_after_the_quarantine() {
     let mut fleet = fleet();
-    three_ends(&mut fleet[0]);
+    crash_three_engines(&mut fleet[0]);
     let suspects = fleet[0].advertised_suspects(NOW + ms(1_500));
     for control in &mut fleet[1..] {
         control.apply_peer_suspects(NOW + ms(1_500), &suspects);
@@ -304,11 +302,11 @@
     assert_eq!(refused.flatten().count(), 4);
     let after = NOW + ms(200_000);
     let refused = fleet.iter_mut().map(|control| refusal(control, after));
-    assert_eq!(refused.flatten().count(), 3, "one tries it");
+    assert_eq!(refused.flatten().count(), 3, "one instance probes");
     let refused = fleet
         .iter_mut()
         .map(|control| refusal(control, after + ms(50)));
-    assert_eq!(refused.flatten().count(), 4, "it tries one");
+    assert_eq!(refused.flatten().count(), 4, "only one probe is sent");
     let prober = fleet.iter().position(|c| c.running() > 0).unwrap();
     fleet[prober].ended(after + ms(900), "one more", RunEnd::Answered);
     let cleared = fleet[prober].advertised_suspects(after + ms(900));
@@ -319,9 +317,9 @@
 }
 
 #[test]
-fn an_instance_that_is_cut_off_tries_nothing() {
+fn an_isolated_instance_does_not_probe() {
     let mut fleet = fleet();
-    three_ends(&mut fleet[0]);
+    crash_three_engines(&mut fleet[0]);
     let suspects = fleet[0].advertised_suspects(NOW + ms(1_500));
     for control in &mut fleet {
         control.apply_peer_suspects(NOW + ms(1_500), &suspects);
--- a/crates/core/tests/gateway_engine_watch.rs
+++ b/crates/core/tests/gateway_engine_watch.rs
@@ -1,4 +1,4 @@
-//! What engines are asked while nobody confirms the list, and what follows.
+//! Direct checks of engines while the list is stale, and the reactions to their results.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -21,7 +21,7 @@
 
 const ENGINES: [&str; 5] = ["e1", "e2", "e3", "e4", "e5"];
 
-/// Instances that hear each other and have lost the list.
+/// Instances that receive each other's load and have a stale list.
 fn fleet(count: u32) -> Vec<GatewayControl> {
     let name = |number: u32| format!("i{number}");
     (0..count)
@@ -43,59 +43,59 @@
 }
 
 #[test]
-fn nothing_is_asked_while_the_list_is_confirmed() {
+fn no_checks_while_the_list_is_confirmed() {
     let mut control = control_with(&ENGINES);
     control.place(Duration::ZERO, ask("r1")).unwrap();
     let checks = control.engine_checks(ms(100));
-    assert!(checks.ask.is_empty() && checks.look.is_empty());
+    assert!(checks.query.is_empty() && checks.probe.is_empty());
 }
 
 #[test]
-fn each_engine_is_asked_by_one_instance() {
-    let mut asked: Vec<String> = fleet(4)
+fn each_engine_is_queried_by_one_instance() {
+    let mut queried: Vec<String> = fleet(4)
         .iter_mut()
-        .flat_map(|control| control.engine_checks(ms(100)).ask)
+        .flat_map(|control| control.engine_checks(ms(100)).query)
         .map(|engine| engine.id)
         .collect();
-    asked.sort();
-    assert_eq!(asked, ENGINES);
+    queried.sort();
+    assert_eq!(queried, ENGINES);
 }
 
 #[test]
-fn an_engine_that_keeps_a_copy_is_looked_at_now_and_then() {
+fn an_engine_with_a_backup_is_probed_periodically() {
     let mut control = control_with(&ENGINES);
     let backup = control.place(Duration::ZERO, ask("r1")).unwrap().backup;
     control.set_list_stale(true);
-    let looked = |control: &mut GatewayControl, at: u64| {
-        let engines = control.engine_checks(ms(at)).look.into_iter();
+    let probed = |control: &mut GatewayControl, at: u64| {
+        let engines = control.engine_checks(ms(at)).probe.into_iter();
         engines.map(|engine| engine.id).collect::<Vec<String>>()
     };
-    let keeper = backup.unwrap().id;
-    assert_eq!(looked(&mut control, 300).first(), Some(&keeper));
-    assert!(looked(&mut control, 600).is_empty());
-    assert_eq!(looked(&mut control, 1_300), [keeper]);
+    let backup_id = backup.unwrap().id;
+    assert_eq!(probed(&mut control, 300).first(), Some(&backup_id));
+    assert!(probed(&mut control, 600).is_empty());
+    assert_eq!(probed(&mut control, 1_300), [backup_id]);
 }
 
 #[test]
-fn sessions_move_off_an_engine_that_says_it_leaves() {
+fn sessions_move_off_an_engine_that_reports_draining() {
     let mut control = control_with(&["e1"]);
     let ranking = control.place(Duration::ZERO, ask("r1")).unwrap();
     assert!(ranking.backup.is_none());
     let both = vec![engine("e1", "z1"), engine("e2", "z1")];
     control.offer_replicas(ms(10), 2, both.clone());
     let evacuations = control
-        .leaves(ms(100), &engine("e1", "z1").server_life(), true)
+        .report_draining(ms(100), &engine("e1", "z1").server_life(), true)
         .unwrap();
     assert_eq!(evacuations[0].target.id, "e2");
     assert_eq!(
         control
-            .leaves(ms(200), &engine("e1", "z1").server_life(), false)
+            .report_draining(ms(200), &engine("e1", "z1").server_life(), false)
             .map(|e| e.len()),
         None
     );
     assert_eq!(control.said_leaving(ms(9_000), false), ["e1"]);
     assert!(control.said_leaving(ms(11_000), false).is_empty());
-    // The list may still show it as serving for a while.
+    // The list may still contain it as serving for a while.
     control.offer_replicas(ms(300), 3, both);
     assert_eq!(control.list().state("e1"), ListedState::Leaving);
     let next = control.place(ms(300), ask("r2")).unwrap();
@@ -104,18 +104,18 @@
 }
 
 #[test]
-fn what_a_peer_was_told_is_not_told_again() {
+fn draining_reported_by_a_peer_is_not_advertised_again() {
     let mut control = control_with(&["e1", "e2"]);
     assert!(
         control
-            .leaves(ms(100), &engine("e1", "z1").server_life(), false)
+            .report_draining(ms(100), &engine("e1", "z1").server_life(), false)
             .is_some()
     );
     assert!(control.said_leaving(ms(200), false).is_empty());
 }
 
 #[test]
-fn an_engine_that_can_t_be_reached_is_left_alone_for_a_while() {
+fn an_unreachable_engine_gets_no_requests_for_a_while() {
     let mut control = control_with(&["e1", "e2"]);
     control.unreachable(ms(100), "e1");
     for number in 0..4 {
@@ -127,9 +127,9 @@
     assert_eq!(later.replicas.len(), 2);
 }
 
-/// Trying one beats refusing.
+/// Trying an unreachable engine is better than refusing the request.
 #[test]
-fn when_none_can_be_reached_all_are_tried() {
+fn if_all_engines_are_unreachable_all_are_tried() {
     let mut control = control_with(&["e1", "e2"]);
     control.unreachable(ms(100), "e1");
     control.unreachable(ms(100), "e2");
@@ -137,53 +137,55 @@
 }
 
 #[test]
-fn a_copy_that_can_t_be_reached_is_of_no_use() {
+fn an_unreachable_backup_is_dropped() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(Duration::ZERO, ask("r1")).unwrap();
     control.unreachable(ms(100), &ranking.backup.unwrap().id);
     assert!(control.fail_over(ms(200), "r1").is_none());
-    let leaves = control.leaves(ms(300), &ranking.replicas[0].server_life(), true);
-    assert_eq!(leaves.unwrap().len(), 1, "it has to move now");
+    let leaves = control.report_draining(ms(300), &ranking.replicas[0].server_life(), true);
+    assert_eq!(leaves.unwrap().len(), 1, "the session has to move now");
 }
 
-/// A displaced session can't be copied: it is tried again at the next look, not
-/// on one engine after the other at once.
+/// A preempted session can't be copied. Its move is retried at the next tick, instead of on one
+/// engine after another at once.
 #[test]
-fn a_delayed_move_is_tried_again_later() {
+fn a_delayed_move_is_retried_at_the_next_tick() {
     let mut control = control_with(&["e1"]);
     control.place(Duration::ZERO, ask("r1")).unwrap();
     control.offer_replicas(ms(10), 2, vec![engine("e1", "z1"), engine("e2", "z1")]);
     control
-        .leaves(ms(100), &engine("e1", "z1").server_life(), true)
+        .report_draining(ms(100), &engine("e1", "z1").server_life(), true)
         .unwrap();
     control.move_delayed("r1");
     assert_eq!(control.tick(ms(200)).evacuations.len(), 1);
-    assert!(control.tick(ms(400)).evacuations.is_empty(), "it moves");
+    assert!(
+        control.tick(ms(400)).evacuations.is_empty(),
+        "the session is moving"
+    );
 }
 
-/// In an outage of the list one failed try is enough for the whole zone.
+/// During an outage of the list, one failed attempt is enough for all instances of the zone.
 #[test]
-fn an_engine_that_a_neighbour_can_t_reach_is_left_alone() {
+fn an_engine_that_a_neighbour_can_t_reach_gets_no_requests() {
     let mut fleet = fleet(2);
     assert!(fleet[0].refused_connection(ms(100), "e1"));
-    assert!(!fleet[0].refused_connection(ms(200), "e1"), "no news");
+    assert!(!fleet[0].refused_connection(ms(200), "e1"), "known already");
     assert_eq!(fleet[0].found_unreachable(ms(2_100)), ["e1"]);
     assert!(fleet[0].found_unreachable(ms(2_300)).is_empty());
-    fleet[1].hear_unreachable(ms(150), "e1");
+    fleet[1].apply_peer_unreachable(ms(150), "e1");
     for number in 0..8 {
         let ranking = fleet[1].place(ms(200), ask(&format!("r{number}"))).unwrap();
         assert!(ranking.replicas.iter().all(|replica| replica.id != "e1"));
     }
 }
 
-/// While the list is confirmed it says who is gone, and a connection may fail for
-/// other reasons.
+/// A confirmed list shows which servers are gone, and a connection may fail for other reasons.
 #[test]
-fn nothing_is_told_of_connections_while_the_list_is_confirmed() {
+fn refused_connections_are_not_advertised_while_the_list_is_confirmed() {
     let mut control = control_with(&ENGINES);
     assert!(!control.refused_connection(ms(100), "e1"));
     assert!(control.found_unreachable(ms(100)).is_empty());
-    control.hear_unreachable(ms(100), "e1");
+    control.apply_peer_unreachable(ms(100), "e1");
     let chosen = (0..10).any(|number| {
         let ranking = control.place(ms(200), ask(&format!("r{number}"))).unwrap();
         ranking.replicas.iter().any(|replica| replica.id == "e1")
@@ -191,9 +193,9 @@
     assert!(chosen);
 }
 
-/// Entries of servers that are gone still count for two seconds after an outage.
+/// Entries of removed servers stay in use for two seconds after an outage.
 #[test]
-fn what_is_unreachable_is_told_until_the_list_has_settled() {
+fn unreachable_engines_are_advertised_until_the_list_has_settled() {
     let mut control = control_with(&ENGINES);
     control.outage_ended(ms(1_000));
     assert!(control.refused_connection(ms(1_500), "e1"));
--- a/crates/core/tests/gateway_evacuation.rs
+++ b/crates/core/tests/gateway_evacuation.rs
@@ -83,21 +83,21 @@
 
 #[test_case("engines"; "engines")]
 #[test_case("orders"; "a plain service")]
-fn nothing_new_goes_to_an_evacuated_zone(service: &str) {
+fn an_evacuated_zone_gets_no_new_requests(service: &str) {
     let mut control = two_zones();
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
     for number in 0..6 {
         let request = format!("r{number}");
         let ranking = control.place(NOW, ask_of(service, &request)).unwrap();
-        let kept = ranking.backup.iter();
-        for replica in ranking.replicas.iter().chain(kept) {
+        let backup = ranking.backup.iter();
+        for replica in ranking.replicas.iter().chain(backup) {
             assert_eq!(replica.availability_zone, "z2", "{request}");
         }
     }
 }
 
 #[test]
-fn an_order_that_is_taken_back_opens_the_zone() {
+fn a_withdrawn_evacuation_opens_the_zone() {
     let mut control = two_zones();
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
     let changes = control.offer_evacuations(NOW, whole(3, &[])).unwrap();
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn with_all_zones_evacuated_callers_are_refused_at_once() {
+fn if_all_zones_are_evacuated_requests_are_refused() {
     let mut control = two_zones();
     control
         .offer_evacuations(NOW, whole(2, &["z1", "z2"]))
@@ -119,33 +119,33 @@
 }
 
 #[test]
-fn a_session_does_not_go_on_at_a_copy_in_an_evacuated_zone() {
+fn no_failover_to_a_backup_in_an_evacuated_zone() {
     let mut control = two_zones();
     let ranking = control.place(NOW, ask("r")).unwrap();
-    let copy = ranking.backup.unwrap();
-    let zone = zone_of(&control, &copy.id);
+    let backup = ranking.backup.unwrap();
+    let zone = zone_of(&control, &backup.id);
     control.offer_evacuations(NOW, whole(2, &[&zone])).unwrap();
     assert!(control.fail_over(NOW, "r").is_none());
 }
 
 #[test]
-fn a_session_on_a_leaving_engine_moves_past_an_evacuated_zone() {
+fn a_session_on_a_draining_engine_moves_to_an_open_zone() {
     for number in 0..8 {
         let mut control = two_zones();
         let request = format!("r{number}");
         let ranking = control.place(NOW, ask(&request)).unwrap();
         let first = ranking.replicas[0].clone();
         control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
-        let gone = leaving(&first.id, &first.availability_zone);
-        let news = vec![iristhread_core::ReplicaChange::Listed(gone)];
-        let moves = control.change_replicas(NOW, 2, news);
+        let draining = leaving(&first.id, &first.availability_zone);
+        let changes = vec![iristhread_core::ReplicaChange::Listed(draining)];
+        let moves = control.change_replicas(NOW, 2, changes);
         let target = &moves[0].target;
         assert_eq!(target.availability_zone, "z2");
     }
 }
 
 #[test]
-fn a_stream_is_run_again_outside_an_evacuated_zone() {
+fn a_stream_restarts_outside_an_evacuated_zone() {
     let mut control = two_zones();
     for number in 0..20 {
         control.place(NOW, ask(&format!("r{number}"))).unwrap();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_session_that_runs_there_stays() {
+fn running_sessions_stay_in_an_evacuated_zone() {
     let mut control = two_zones();
     control.place(NOW, ask("r")).unwrap();
     control
@@ -166,10 +166,10 @@
     assert_eq!(control.running(), 1);
 }
 
-#[test_case(whole(4, &[]); "a whole")]
-#[test_case(changed(1, 4, vec![ended("z1")]); "a change")]
-#[test_case(changed(6, 7, vec![ended("z1")]); "a change after one that is missing")]
-fn news_that_are_late_or_lack_something_change_nothing(late: EvacuationNews) {
+#[test_case(whole(4, &[]); "an older full state")]
+#[test_case(changed(1, 4, vec![ended("z1")]); "an older change")]
+#[test_case(changed(6, 7, vec![ended("z1")]); "a change after a gap")]
+fn late_or_incomplete_updates_are_ignored(late: EvacuationNews) {
     let mut evacuations = ZoneEvacuations::default();
     evacuations.take(NOW, whole(5, &["z1"])).unwrap();
     assert_eq!(evacuations.take(NOW, late), None);
@@ -178,33 +178,33 @@
 }
 
 #[test]
-fn changes_may_overlap_what_is_known() {
+fn changes_may_overlap_the_known_state() {
     let mut evacuations = ZoneEvacuations::default();
     evacuations.take(NOW, whole(5, &["z1"])).unwrap();
-    let news = changed(2, 9, vec![began("z1"), ended("z1"), began("z2")]);
+    let update = changed(2, 9, vec![began("z1"), ended("z1"), began("z2")]);
     assert_eq!(
-        evacuations.take(NOW, news).unwrap(),
+        evacuations.take(NOW, update).unwrap(),
         [ended("z1"), began("z2")]
     );
     assert_eq!(evacuations.told().zones, ["z2"]);
 }
 
-/// Whatever order messages arrive in, the newest word wins.
+/// The newest revision wins, in whatever order messages arrive.
 #[test]
-fn instances_agree_whatever_is_late() {
+fn instances_agree_in_any_message_order() {
     for seed in 0..500_u64 {
         let mut orders = Vec::new();
-        let mut truth: Vec<&str> = Vec::new();
+        let mut expected: Vec<&str> = Vec::new();
         let mut draw = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
         for revision in 1..12 {
             draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             let zone = ["z1", "z2", "z3"][(draw >> 33) as usize % 3];
-            match truth.iter().position(|known| *known == zone) {
-                Some(place) => drop(truth.remove(place)),
-                None => truth.push(zone),
+            match expected.iter().position(|known| *known == zone) {
+                Some(place) => drop(expected.remove(place)),
+                None => expected.push(zone),
             }
-            truth.sort_unstable();
-            orders.push(whole(revision, &truth));
+            expected.sort_unstable();
+            orders.push(whole(revision, &expected));
         }
         let last = orders.last().cloned().unwrap();
         for place in (1..orders.len()).rev() {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn what_is_under_way_may_still_be_sent_for_a_short_time() {
+fn requests_in_progress_may_be_sent_for_a_grace_period() {
     let mut evacuations = ZoneEvacuations::default();
     evacuations.take(NOW, whole(1, &["z1"])).unwrap();
     evacuations
@@ -233,14 +233,14 @@
     assert!(!evacuations.is_closed(NOW + ms(1_400), "z1"));
     assert!(
         evacuations.is_closed(NOW + ms(1_600), "z1"),
-        "told again is no reprieve"
+        "a repeated order does not extend the grace period"
     );
     assert!(!evacuations.is_closed(NOW + ms(1_600), "z2"));
     assert!(!evacuations.is_closed(NOW + ms(9_000), "z3"));
 }
 
 #[test]
-fn a_call_that_may_be_repeated_stays_out_of_it() {
+fn repeatable_calls_avoid_an_evacuated_zone() {
     let mut control = two_zones();
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
     let call = PlacementRequest {
--- a/crates/core/tests/gateway_homes.rs
+++ b/crates/core/tests/gateway_homes.rs
@@ -20,7 +20,7 @@
 
 const NOW: Duration = Duration::from_secs(10);
 
-/// Two engines in each of three zones; the third zone's region is not known.
+/// Two engines in each of three zones; the region of the third zone is unknown.
 fn two_regions() -> GatewayControl {
     let regions = [("z1", "north"), ("z2", "south")];
     let regions = regions.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
@@ -35,7 +35,7 @@
     control
 }
 
-fn at_home(request: &str, homes: &[&str]) -> PlacementRequest {
+fn in_regions(request: &str, homes: &[&str]) -> PlacementRequest {
     PlacementRequest {
         homes: Some(homes.iter().map(|home| (*home).to_owned()).collect()),
         ..ask(request)
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn requests_and_copies_stay_in_their_home() {
+fn requests_and_backups_stay_in_home_regions() {
     let mut control = two_regions();
     for number in 0..4 {
         let ranking = control
-            .place(NOW, at_home(&format!("r{number}"), &["south"]))
+            .place(NOW, in_regions(&format!("r{number}"), &["south"]))
             .unwrap();
         for replica in ranking.replicas.iter().chain(&ranking.backup) {
             assert_eq!(replica.availability_zone, "z2");
@@ -56,20 +56,20 @@
 }
 
 #[test]
-fn a_session_moves_within_its_home() {
+fn a_session_moves_within_its_home_region() {
     let mut control = two_regions();
-    let ranking = control.place(NOW, at_home("r", &["south"])).unwrap();
+    let ranking = control.place(NOW, in_regions("r", &["south"])).unwrap();
     let first = ranking.replicas[0].clone();
-    let copy = ranking.backup.unwrap();
-    let mut gone = vec![ReplicaChange::Listed(gateway_scene::leaving(
-        &copy.id, "z2",
+    let backup = ranking.backup.unwrap();
+    let mut draining = vec![ReplicaChange::Listed(gateway_scene::leaving(
+        &backup.id, "z2",
     ))];
-    gone.push(ReplicaChange::Listed(gateway_scene::leaving(
+    draining.push(ReplicaChange::Listed(gateway_scene::leaving(
         &first.id, "z2",
     )));
     assert!(
-        control.change_replicas(NOW, 2, gone).is_empty(),
-        "no other engine there"
+        control.change_replicas(NOW, 2, draining).is_empty(),
+        "no other engine in the region"
     );
     let back = vec![ReplicaChange::Listed(engine("c-z2", "z2"))];
     control.change_replicas(NOW, 3, back);
@@ -78,36 +78,36 @@
 }
 
 #[test]
-fn a_stream_is_run_again_at_home() {
+fn a_stream_restarts_in_its_home_region() {
     let mut control = two_regions();
     for number in 0..10 {
         control.place(NOW, ask(&format!("other{number}"))).unwrap();
     }
-    control.place(NOW, at_home("r", &["south"])).unwrap();
+    control.place(NOW, in_regions("r", &["south"])).unwrap();
     let target = control.restart_stream(NOW, "r").unwrap();
     assert_eq!(target.replica.availability_zone, "z2");
 }
 
-#[test_case(&["west"]; "no server there")]
-#[test_case(&[]; "route and workspace have no home in common")]
-fn what_may_go_nowhere_is_refused_at_once(homes: &[&str]) {
+#[test_case(&["west"]; "no server in the region")]
+#[test_case(&[]; "route and workspace have no common region")]
+fn a_request_without_servers_in_its_regions_is_refused(homes: &[&str]) {
     let mut control = two_regions();
-    let refusal = control.place(NOW, at_home("r", homes)).unwrap_err();
+    let refusal = control.place(NOW, in_regions("r", homes)).unwrap_err();
     assert_eq!(refusal.kind, RefusalKind::NoBackend);
     assert!(refusal.message.contains("home"), "{}", refusal.message);
     assert_eq!(control.running(), 0);
 }
 
 #[test]
-fn a_home_that_is_evacuated_is_left_to_nobody_else() {
+fn no_fallback_from_an_evacuated_home_region() {
     let mut control = two_regions();
-    let told = iristhread_core::ToldEvacuations {
+    let evacuated = iristhread_core::ToldEvacuations {
         revision: 2.into(),
         zones: vec!["z2".to_owned()],
     };
     control
-        .offer_evacuations(NOW, iristhread_core::EvacuationNews::Whole(told))
+        .offer_evacuations(NOW, iristhread_core::EvacuationNews::Whole(evacuated))
         .unwrap();
-    let refusal = control.place(NOW, at_home("r", &["south"])).unwrap_err();
+    let refusal = control.place(NOW, in_regions("r", &["south"])).unwrap_err();
     assert!(refusal.message.contains("evacuated"), "{}", refusal.message);
 }
--- a/crates/core/tests/gateway_lives.rs
+++ b/crates/core/tests/gateway_lives.rs
@@ -1,7 +1,7 @@
-//! A backend server that is back under its id knows nothing of before: what was believed
-//! of its earlier life never speaks of the later one, in whatever order news arrive.
-//! Beliefs went by the id alone, so that an engine that was back was left alone for what
-//! its past life did, and sessions and copies were looked for that had gone with it.
+//! State recorded for one incarnation of a backend server must not apply to a later one, in
+//! whatever order updates arrive. If state were keyed by ID alone, a restarted engine would get no
+//! requests because of failures of its earlier incarnation, and sessions and backups that were lost
+//! with it would still be expected there.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -29,18 +29,18 @@
     }
 }
 
-/// Engine `a` alone, in its first life.
+/// A gateway with engine `a` alone, in its first incarnation.
 fn one_engine() -> GatewayControl {
     let mut control = control_with(&[]);
     control.offer_replicas(NOW, 2, vec![born("a", 1)]);
     control
 }
 
-fn life(born_ms: u64) -> ServerLife {
+fn incarnation(born_ms: u64) -> ServerLife {
     born("a", born_ms).server_life()
 }
 
-/// What was believed of the first life.
+/// State recorded for the first incarnation.
 #[derive(Clone, Copy)]
 enum EarlierState {
     Failed,
@@ -48,39 +48,39 @@
     Leaves,
 }
 
-fn believe(control: &mut GatewayControl, earlier: EarlierState) {
+fn record(control: &mut GatewayControl, earlier: EarlierState) {
     match earlier {
         EarlierState::Failed => (0..6).for_each(|_| control.failed(NOW, "a")),
         EarlierState::Unreachable => control.unreachable(NOW, "a"),
-        EarlierState::Leaves => drop(control.leaves(NOW, &life(1), true)),
+        EarlierState::Leaves => drop(control.report_draining(NOW, &incarnation(1), true)),
     }
 }
 
-/// How the list tells of the second life.
+/// How the list announces the second incarnation.
 #[derive(Clone, Copy)]
-enum News {
-    /// Within one heartbeat: the entry never went.
-    Written,
-    /// The entry went and came within one answer.
-    GoneAndWritten,
-    /// The whole list was read.
-    Whole,
-    /// It was told by a peer.
-    Told,
+enum Announcement {
+    /// The entry is updated within one heartbeat, without being removed.
+    Updated,
+    /// The entry is removed and listed again within one answer.
+    RemovedAndListed,
+    /// The full list is read.
+    FullList,
+    /// The list is received from a peer.
+    FromPeer,
 }
 
-fn is_back(control: &mut GatewayControl, news: News, born_ms: u64) {
+fn restart(control: &mut GatewayControl, announcement: Announcement, born_ms: u64) {
     let (now, back) = (NOW + ms(500), born("a", born_ms));
     let revision = control.list().revision().count + 10;
     let listed = ReplicaChange::Listed(back.clone());
-    match news {
-        News::Written => drop(control.change_replicas(now, revision, vec![listed])),
-        News::GoneAndWritten => {
+    match announcement {
+        Announcement::Updated => drop(control.change_replicas(now, revision, vec![listed])),
+        Announcement::RemovedAndListed => {
             let gone = ReplicaChange::Removed("a".to_owned());
             control.change_replicas(now, revision, vec![gone, listed]);
         }
-        News::Whole => drop(control.offer_replicas(now, revision, vec![back])),
-        News::Told => {
+        Announcement::FullList => drop(control.offer_replicas(now, revision, vec![back])),
+        Announcement::FromPeer => {
             let mut other = control_with(&[]);
             other.offer_replicas(now, revision, vec![back]);
             control.apply_peer_list(now, other.list().told(now));
@@ -96,87 +96,87 @@
     ranking.replicas.iter().any(|replica| replica.id == "a")
 }
 
-/// The list as it is, with an engine beside so that `a` isn't the last resort.
+/// The current list plus a second engine, so that `a` isn't the only choice.
 fn with_spare(control: &GatewayControl) -> Vec<Replica> {
     let a = control.list().replica("a").unwrap().clone();
     vec![a, engine("spare", "z1")]
 }
 
-#[test_case(EarlierState::Failed, News::Written)]
-#[test_case(EarlierState::Failed, News::GoneAndWritten)]
-#[test_case(EarlierState::Unreachable, News::Written)]
-#[test_case(EarlierState::Unreachable, News::Whole)]
-#[test_case(EarlierState::Leaves, News::Written)]
-#[test_case(EarlierState::Leaves, News::GoneAndWritten)]
-#[test_case(EarlierState::Leaves, News::Told)]
-fn it_takes_requests_at_once(earlier: EarlierState, news: News) {
+#[test_case(EarlierState::Failed, Announcement::Updated)]
+#[test_case(EarlierState::Failed, Announcement::RemovedAndListed)]
+#[test_case(EarlierState::Unreachable, Announcement::Updated)]
+#[test_case(EarlierState::Unreachable, Announcement::FullList)]
+#[test_case(EarlierState::Leaves, Announcement::Updated)]
+#[test_case(EarlierState::Leaves, Announcement::RemovedAndListed)]
+#[test_case(EarlierState::Leaves, Announcement::FromPeer)]
+fn a_new_incarnation_takes_requests_at_once(earlier: EarlierState, announcement: Announcement) {
     let mut control = one_engine();
-    believe(&mut control, earlier);
-    assert!(!takes_requests(&mut control), "the earlier holds");
-    is_back(&mut control, news, 2);
+    record(&mut control, earlier);
+    assert!(!takes_requests(&mut control), "the earlier state applies");
+    restart(&mut control, announcement, 2);
     assert!(takes_requests(&mut control));
-    is_back(&mut control, news, 3);
-    assert!(takes_requests(&mut control), "twice in a row");
+    restart(&mut control, announcement, 3);
+    assert!(takes_requests(&mut control), "after a second restart");
 }
 
-/// The same life is written again and again.
+/// An update of the entry of the same incarnation keeps the state.
 #[test]
-fn a_belief_outlasts_an_entry_of_the_same_life() {
+fn state_survives_an_update_of_the_same_incarnation() {
     let mut control = one_engine();
-    believe(&mut control, EarlierState::Unreachable);
-    is_back(&mut control, News::Written, 1);
+    record(&mut control, EarlierState::Unreachable);
+    restart(&mut control, Announcement::Updated, 1);
     assert!(!takes_requests(&mut control));
 }
 
-/// A peer's heartbeat, or a try that took long, speaks of the life before.
+/// A heartbeat of a peer or the result of a long attempt may refer to the earlier incarnation.
 #[test]
-fn late_news_of_an_earlier_life_are_told_from_it() {
+fn late_updates_of_an_earlier_incarnation_are_detected() {
     let mut control = one_engine();
-    assert!(control.is_current(&life(1)));
-    is_back(&mut control, News::Written, 2);
-    assert!(!control.is_current(&life(1)));
-    assert!(control.is_current(&life(2)));
+    assert!(control.is_current(&incarnation(1)));
+    restart(&mut control, Announcement::Updated, 2);
+    assert!(!control.is_current(&incarnation(1)));
+    assert!(control.is_current(&incarnation(2)));
     control.change_replicas(NOW, 900, vec![ReplicaChange::Removed("a".to_owned())]);
     assert!(
-        control.is_current(&life(2)),
-        "what isn't listed may be news"
+        control.is_current(&incarnation(2)),
+        "an incarnation that isn't listed may be new"
     );
 }
 
 #[test]
-fn what_peers_are_told_names_the_life() {
+fn advertised_servers_name_the_incarnation() {
     let mut control = one_engine();
-    believe(&mut control, EarlierState::Leaves);
+    record(&mut control, EarlierState::Leaves);
     let told = control.incarnations_of(control.said_leaving(NOW, false));
-    assert_eq!(told, [life(1)]);
-    is_back(&mut control, News::Written, 2);
+    assert_eq!(told, [incarnation(1)]);
+    restart(&mut control, Announcement::Updated, 2);
     assert!(control.said_leaving(NOW, false).is_empty());
 }
 
-#[test_case(News::Written)]
-#[test_case(News::GoneAndWritten)]
-#[test_case(News::Whole)]
-fn its_sessions_are_gone_with_it(news: News) {
+#[test_case(Announcement::Updated)]
+#[test_case(Announcement::RemovedAndListed)]
+#[test_case(Announcement::FullList)]
+fn sessions_are_orphaned_by_a_restart(announcement: Announcement) {
     let mut control = one_engine();
     control.place(NOW, ask("running")).unwrap();
-    is_back(&mut control, News::Written, 1);
+    restart(&mut control, Announcement::Updated, 1);
     assert!(control.take_orphaned().is_empty());
-    is_back(&mut control, news, 2);
+    restart(&mut control, announcement, 2);
     assert_eq!(control.take_orphaned(), ["running"]);
-    assert!(control.take_orphaned().is_empty(), "told once");
+    assert!(control.take_orphaned().is_empty(), "returned once");
 }
 
 #[test]
-fn its_copies_are_gone_with_it() {
+fn backups_are_lost_by_a_restart() {
     let mut control = control_with(&[]);
     control.offer_replicas(NOW, 2, vec![born("a", 1), born("b", 1)]);
     let ranking = control.place(NOW, ask("running")).unwrap();
-    let keeper = ranking.backup.unwrap();
-    let back = born(&keeper.id, 2);
+    let backup = ranking.backup.unwrap();
+    let back = born(&backup.id, 2);
     control.change_replicas(NOW, 3, vec![ReplicaChange::Listed(back)]);
     assert!(control.fail_over(NOW, "running").is_none());
     assert!(
         control.take_orphaned().is_empty(),
-        "the session runs elsewhere"
+        "the session runs on the other engine"
     );
 }
--- a/crates/core/tests/gateway_notices.rs
+++ b/crates/core/tests/gateway_notices.rs
@@ -1,4 +1,4 @@
-//! What an instance does after a backend server said that it leaves, or asked for rest.
+//! Reactions of an instance to server notices: draining and backoff.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -25,13 +25,13 @@
 
 const NOW: Now = ms(1_000);
 
-const LEAVES: ServerNotice = ServerNotice {
+const DRAINING: ServerNotice = ServerNotice {
     is_leaving: true,
     retry_after: RetryAfter::NotTold,
     limit: NamedLimit::NotTold,
 };
 
-fn rest(time: Duration) -> ServerNotice {
+fn backoff(time: Duration) -> ServerNotice {
     ServerNotice {
         is_leaving: false,
         retry_after: RetryAfter::In(time),
@@ -39,7 +39,7 @@
     }
 }
 
-/// An engine in a life that its entry tells.
+/// An engine whose entry has a start time.
 fn born(id: &str, born_ms: u64) -> Replica {
     Replica {
         born_ms: Some(born_ms),
@@ -47,8 +47,8 @@
     }
 }
 
-/// Engines that tell their lives.
-fn control_with_lives(ids: &[&str]) -> GatewayControl {
+/// A gateway with engines whose entries have start times.
+fn control_with_start_times(ids: &[&str]) -> GatewayControl {
     let mut control = control_with(&[]);
     let engines = ids.iter().map(|id| born(id, 1)).collect();
     control.offer_replicas(Duration::ZERO, 10, engines);
@@ -56,19 +56,19 @@
 }
 
 fn notice(control: &mut GatewayControl, at: Now, server: &Replica, notice: ServerNotice) {
-    control.noticed(at, &server.server_life(), &notice);
+    control.observe_notice(at, &server.server_life(), &notice);
 }
 
-/// The engine that a request goes to first, if any.
+/// Places a request and returns the first engine, if any.
 fn chosen(control: &mut GatewayControl, at: Now, request: &str) -> Option<String> {
     let ranking = control.place(at, ask(request)).ok()?;
     Some(ranking.replicas[0].id.clone())
 }
 
 #[test]
-fn nothing_goes_to_an_engine_that_rests_and_one_request_tries_it_afterwards() {
+fn a_backoff_stops_requests_and_ends_with_one_trial_request() {
     let mut control = control_with(&["a"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(3_000)));
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(3_000)));
     assert_eq!(chosen(&mut control, NOW, "r1"), None);
     assert_eq!(chosen(&mut control, NOW + ms(2_999), "r2"), None);
     let over = NOW + ms(3_000);
@@ -76,7 +76,7 @@
     assert_eq!(
         chosen(&mut control, over, "r4"),
         None,
-        "another one tries it"
+        "a trial request is in flight"
     );
     control.progress(over + ms(100), "r3", 4);
     for request in ["r5", "r6", "r7"] {
@@ -84,13 +84,13 @@
     }
 }
 
-/// However a try ends that the engine did not take, the next one may follow.
+/// If a trial request ends without being served, the next one may follow, however it ended.
 #[test_case(RunEnd::Refused; "refused")]
 #[test_case(RunEnd::Failed; "failed")]
-#[test_case(RunEnd::Withdrawn; "its caller left")]
-fn after_a_try_that_led_nowhere_the_next_one_tries(end: RunEnd) {
+#[test_case(RunEnd::Withdrawn; "the caller disconnected")]
+fn an_unserved_trial_request_is_followed_by_another(end: RunEnd) {
     let mut control = control_with(&["a"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(500)));
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(500)));
     let over = NOW + ms(500);
     assert!(chosen(&mut control, over, "r1").is_some());
     control.ended(over, "r1", end);
@@ -98,12 +98,13 @@
     assert_eq!(chosen(&mut control, over + ms(9_000), "r3"), None);
 }
 
-/// What ran there before it asked shows nothing of the time after.
+/// Progress of a session that started before the backoff does not show that the engine takes new
+/// requests.
 #[test]
-fn a_session_from_before_does_not_end_a_rest() {
+fn an_earlier_session_does_not_end_a_backoff() {
     let mut control = control_with(&["a"]);
     assert!(chosen(&mut control, NOW, "old").is_some());
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(500)));
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(500)));
     control.progress(NOW + ms(100), "old", 4);
     assert_eq!(chosen(&mut control, NOW + ms(200), "r1"), None);
     control.progress(NOW + ms(600), "old", 8);
@@ -113,21 +114,26 @@
 
 #[test_case(3_000, 500; "the longer first")]
 #[test_case(500, 3_000; "the longer last")]
-fn of_several_rests_the_longest_counts(first_ms: u64, second_ms: u64) {
+fn the_longest_of_several_backoffs_applies(first_ms: u64, second_ms: u64) {
     let mut control = control_with(&["a"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(first_ms)));
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(second_ms)));
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(first_ms)));
+    notice(
+        &mut control,
+        NOW,
+        &engine("a", "z1"),
+        backoff(ms(second_ms)),
+    );
     assert_eq!(chosen(&mut control, NOW + ms(2_900), "r1"), None);
     assert!(chosen(&mut control, NOW + ms(3_000), "r2").is_some());
 }
 
-/// Told the same time they would come back at the same moment, and be too many again.
+/// Callers with the same Retry-After would all return at once and overload the servers again.
 #[test]
-fn callers_are_told_true_times_that_differ() {
+fn retry_after_values_are_spread() {
     let mut control = control_with(&["a", "b"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(8_000)));
-    notice(&mut control, NOW, &engine("b", "z1"), rest(ms(4_000)));
-    let mut told: Vec<Duration> = (0..20)
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(8_000)));
+    notice(&mut control, NOW, &engine("b", "z1"), backoff(ms(4_000)));
+    let mut delays: Vec<Duration> = (0..20)
         .map(|number| {
             let refusal = control.place(NOW, ask(&format!("r{number}"))).unwrap_err();
             assert_eq!(refusal.kind, RefusalKind::Resting);
@@ -135,24 +141,25 @@
         })
         .collect();
     assert!(
-        told.iter()
+        delays
+            .iter()
             .all(|time| (ms(4_000)..=ms(8_000)).contains(time))
     );
-    told.sort();
-    let most_at_once = told.windows(5).filter(|few| few[4] - few[0] < ms(200));
-    assert_eq!(most_at_once.count(), 0, "{told:?}");
+    delays.sort();
+    let most_at_once = delays.windows(5).filter(|few| few[4] - few[0] < ms(200));
+    assert_eq!(most_at_once.count(), 0, "{delays:?}");
 }
 
-/// One that leaves is no reason to tell of its rest, nor one that takes requests.
+/// The refusal names a backoff only if no replica takes requests; draining replicas are ignored.
 #[test]
-fn a_caller_is_told_of_rest_only_where_all_rest() {
+fn a_refusal_names_the_backoff_only_if_all_back_off() {
     let mut control = control_with(&["a", "b"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(4_000)));
-    notice(&mut control, NOW, &engine("b", "z1"), LEAVES);
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(4_000)));
+    notice(&mut control, NOW, &engine("b", "z1"), DRAINING);
     let refusal = control.place(NOW, ask("r1")).unwrap_err();
     assert_eq!(refusal.kind, RefusalKind::Resting);
     let mut control = control_with(&["a", "b"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(4_000)));
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(4_000)));
     let otherwise = ms(300);
     assert_eq!(
         control.caller_retry_after(NOW, &ask("r1"), otherwise),
@@ -161,52 +168,52 @@
 }
 
 #[test]
-fn neither_copies_nor_moves_nor_questions_go_to_an_engine_that_rests() {
+fn no_backups_moves_or_queries_for_an_engine_that_backs_off() {
     let mut control = control_with(&["a", "b", "c"]);
-    notice(&mut control, NOW, &engine("b", "z1"), rest(ms(60_000)));
+    notice(&mut control, NOW, &engine("b", "z1"), backoff(ms(60_000)));
     for number in 0..3 {
         let ranking = control.place(NOW, ask(&format!("r{number}"))).unwrap();
         assert_ne!(ranking.backup.unwrap().id, "b");
         assert!(ranking.replicas.iter().all(|replica| replica.id != "b"));
     }
-    let moves = control.leaves(NOW, &engine("a", "z1").server_life(), true);
+    let moves = control.report_draining(NOW, &engine("a", "z1").server_life(), true);
     assert!(moves.unwrap().iter().all(|moving| moving.target.id != "b"));
     control.set_list_stale(true);
-    let asked = control.engine_checks(NOW).ask;
-    assert!(asked.iter().all(|engine| engine.id != "b"));
+    let queried = control.engine_checks(NOW).query;
+    assert!(queried.iter().all(|engine| engine.id != "b"));
 }
 
 #[test]
-fn a_rest_is_no_failure() {
+fn a_backoff_is_not_a_failure() {
     let mut control = control_with(&["a"]);
     for number in 0..5 {
         let at = NOW + ms(number * 600);
         let request = format!("r{number}");
         assert!(chosen(&mut control, at, &request).is_some(), "{request}");
-        notice(&mut control, at, &engine("a", "z1"), rest(ms(500)));
+        notice(&mut control, at, &engine("a", "z1"), backoff(ms(500)));
         control.ended(at, &request, RunEnd::Refused);
     }
 }
 
-/// None ever takes it back; only another life serves.
-#[test_case(ReplicaChange::Listed(born("a", 1)), false; "written again as it was")]
-#[test_case(ReplicaChange::Listed(born("a", 2)), true; "another life")]
-fn a_life_that_said_it_leaves_stays_leaving(change: ReplicaChange, serves: bool) {
-    let mut control = control_with_lives(&["a"]);
-    notice(&mut control, NOW, &born("a", 1), LEAVES);
+/// Draining is never revoked for an incarnation; only a new incarnation serves.
+#[test_case(ReplicaChange::Listed(born("a", 1)), false; "the same entry again")]
+#[test_case(ReplicaChange::Listed(born("a", 2)), true; "another incarnation")]
+fn a_draining_incarnation_stays_draining(change: ReplicaChange, serves: bool) {
+    let mut control = control_with_start_times(&["a"]);
+    notice(&mut control, NOW, &born("a", 1), DRAINING);
     control.change_replicas(NOW, 11, vec![ReplicaChange::Removed("a".to_owned())]);
     control.change_replicas(NOW + ms(100), 12, vec![change]);
     assert_eq!(chosen(&mut control, NOW + ms(200), "r1").is_some(), serves);
 }
 
-/// Its entry went while the platform was away, and counts as there for a while.
+/// An entry that is removed after an outage of the platform stays in use for a while.
 #[test]
-fn a_life_whose_entry_lapsed_may_say_that_it_leaves() {
-    let mut control = control_with_lives(&["a"]);
+fn an_incarnation_with_an_expired_entry_may_report_draining() {
+    let mut control = control_with_start_times(&["a"]);
     control.outage_ended(NOW);
     control.change_replicas(NOW, 11, vec![ReplicaChange::Removed("a".to_owned())]);
     assert_eq!(control.list().state("a"), ListedState::Lapsed);
-    notice(&mut control, NOW, &born("a", 1), LEAVES);
+    notice(&mut control, NOW, &born("a", 1), DRAINING);
     assert_eq!(chosen(&mut control, NOW + ms(10), "r1"), None);
     let again = vec![ReplicaChange::Listed(born("a", 1))];
     control.change_replicas(NOW + ms(1_000), 12, again);
@@ -214,8 +221,8 @@
 }
 
 #[test]
-fn an_entry_that_said_draining_is_not_taken_back() {
-    let mut control = control_with_lives(&[]);
+fn a_draining_entry_is_not_reset() {
+    let mut control = control_with_start_times(&[]);
     let drains = Replica {
         leaving: true,
         ..born("a", 1)
@@ -225,11 +232,11 @@
     assert_eq!(chosen(&mut control, NOW, "r1"), None);
 }
 
-/// Where entries tell no lives, one that is listed anew may be another life.
+/// Without start times, an entry that is removed and listed again may be a new incarnation.
 #[test]
-fn without_lives_an_entry_that_is_listed_anew_serves() {
+fn without_start_times_a_relisted_entry_serves() {
     let mut control = control_with(&["a"]);
-    notice(&mut control, NOW, &engine("a", "z1"), LEAVES);
+    notice(&mut control, NOW, &engine("a", "z1"), DRAINING);
     assert_eq!(chosen(&mut control, NOW, "r1"), None);
     control.change_replicas(NOW, 2, vec![ReplicaChange::Removed("a".to_owned())]);
     let again = vec![ReplicaChange::Listed(engine("a", "z1"))];
@@ -240,55 +247,55 @@
     assert_eq!(chosen(&mut control, NOW, "r3"), None);
 }
 
-/// The list may be late: the life that spoke isn't listed yet.
+/// The list may be late: the incarnation that sent the notice isn't listed yet.
 #[test]
-fn words_of_a_life_that_is_not_listed_yet_count_once_it_is() {
-    let mut control = control_with_lives(&["a"]);
-    notice(&mut control, NOW, &born("a", 2), LEAVES);
+fn a_notice_of_an_unlisted_incarnation_applies_once_it_is_listed() {
+    let mut control = control_with_start_times(&["a"]);
+    notice(&mut control, NOW, &born("a", 2), DRAINING);
     assert!(chosen(&mut control, NOW, "r1").is_some());
     assert!(
         control.said_leaving(NOW, true).is_empty(),
-        "it is told nobody"
+        "it is not advertised"
     );
     let listed = vec![ReplicaChange::Listed(born("a", 2))];
     control.change_replicas(NOW, 11, listed);
     assert_eq!(chosen(&mut control, NOW, "r2"), None);
 }
 
-/// Whoever starts and fetches the list hears of it as well.
+/// An instance that starts and fetches the list learns of draining servers as well.
 #[test]
-fn a_list_that_is_handed_on_tells_who_leaves() {
-    let mut control = control_with_lives(&["a", "b"]);
-    notice(&mut control, NOW, &born("a", 1), LEAVES);
+fn an_advertised_list_contains_draining_servers() {
+    let mut control = control_with_start_times(&["a", "b"]);
+    notice(&mut control, NOW, &born("a", 1), DRAINING);
     let mut other = control_with(&[]);
     other.apply_peer_list(NOW, control.list().told(NOW));
     assert_eq!(other.list().state("a"), ListedState::Leaving);
     assert_eq!(other.list().state("b"), ListedState::Serving);
 }
 
-/// Traffic tasks check it before each send.
+/// Traffic tasks check the send restrictions before each send.
 #[test]
-fn what_may_not_be_sent_is_told() {
-    let mut control = control_with_lives(&["a", "b"]);
-    notice(&mut control, NOW, &born("a", 1), LEAVES);
-    notice(&mut control, NOW, &born("b", 1), rest(ms(500)));
-    let stops = control.send_restrictions(NOW);
-    assert!(stops.leaving.contains(&born("a", 1).life()));
-    let until = stops.backoff_until(NOW + ms(499), born("b", 1).life());
+fn send_restrictions_list_draining_and_backoff() {
+    let mut control = control_with_start_times(&["a", "b"]);
+    notice(&mut control, NOW, &born("a", 1), DRAINING);
+    notice(&mut control, NOW, &born("b", 1), backoff(ms(500)));
+    let restrictions = control.send_restrictions(NOW);
+    assert!(restrictions.leaving.contains(&born("a", 1).life()));
+    let until = restrictions.backoff_until(NOW + ms(499), born("b", 1).life());
     assert_eq!(until, Some(NOW + ms(500)));
     assert_eq!(
-        stops.backoff_until(NOW + ms(500), born("b", 1).life()),
+        restrictions.backoff_until(NOW + ms(500), born("b", 1).life()),
         None
     );
     assert_eq!(control.resting(NOW), 1);
 }
 
-/// Marks of what is long gone don't pile up.
+/// State of servers that are gone must not accumulate.
 #[test]
-fn what_is_gone_is_forgotten() {
-    let mut control = control_with_lives(&["a", "b"]);
-    notice(&mut control, NOW, &born("a", 1), LEAVES);
-    notice(&mut control, NOW, &born("b", 1), rest(ms(500)));
+fn state_of_removed_servers_is_dropped() {
+    let mut control = control_with_start_times(&["a", "b"]);
+    notice(&mut control, NOW, &born("a", 1), DRAINING);
+    notice(&mut control, NOW, &born("b", 1), backoff(ms(500)));
     control.offer_replicas(NOW, 11, Vec::new());
     control.tick(NOW + ms(59_000));
     assert_eq!(control.send_restrictions(NOW).leaving.len(), 1);
@@ -303,11 +310,11 @@
     assert!(control.send_restrictions(Duration::ZERO).resting.is_empty());
 }
 
-/// After a long rest they needn't be spread for as long again.
+/// After a long backoff, the retries are spread over a bounded time only.
 #[test]
-fn callers_are_not_told_to_stay_away_much_longer_than_a_long_rest() {
+fn the_retry_spread_is_bounded_for_long_backoffs() {
     let mut control = control_with(&["a"]);
-    notice(&mut control, NOW, &engine("a", "z1"), rest(ms(600_000)));
+    notice(&mut control, NOW, &engine("a", "z1"), backoff(ms(600_000)));
     for number in 0..20 {
         let refusal = control.place(NOW, ask(&format!("r{number}"))).unwrap_err();
         assert!((ms(600_000)..=ms(605_000)).contains(&refusal.retry_after));
--- a/crates/core/tests/gateway_placing.rs
+++ b/crates/core/tests/gateway_placing.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and when they wait or are refused.
+//! Placement of requests, and refusals.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod gateway_scene;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn nothing_is_placed_before_a_configuration() {
+fn without_a_configuration_requests_are_refused() {
     let refusal = control().place(ZERO, ask("r1")).unwrap_err();
     assert_eq!(refusal.kind, RefusalKind::NoBackend);
     assert!(refusal.retry_after > ZERO);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_peers_have_placed_counts() {
+fn the_load_of_peers_counts() {
     let mut control = control_with(&["e1", "e2"]);
     let heavy = LoadShare {
         requests: 6,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_older_heartbeat_of_the_same_life_changes_nothing() {
+fn an_older_heartbeat_of_the_same_incarnation_is_ignored() {
     let mut control = control_with(&["e1", "e2"]);
     let heavy = LoadShare {
         requests: 6,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn full_engines_lead_to_a_refusal_that_says_when_to_come_back() {
+fn full_engines_lead_to_a_refusal_with_retry_after() {
     let mut control = control_with(&["e1"]);
     let refusal = (0..20)
         .find_map(|number| control.place(ZERO, ask(&format!("r{number}"))).err())
@@ -102,10 +102,10 @@
 }
 
 #[test]
-fn leaving_engines_get_nothing_new() {
+fn draining_engines_get_no_new_requests() {
     let mut control = control_with(&["e1", "e2", "e3"]);
-    let news = vec![ReplicaChange::Listed(leaving("e1", "z1"))];
-    control.change_replicas(ZERO, 2, news);
+    let changes = vec![ReplicaChange::Listed(leaving("e1", "z1"))];
+    control.change_replicas(ZERO, 2, changes);
     for number in 0..10 {
         let ranking = control.place(ZERO, ask(&format!("r{number}"))).unwrap();
         assert!(ranking.replicas.iter().all(|replica| replica.id != "e1"));
@@ -113,10 +113,10 @@
     }
 }
 
-/// A zone that was cut off cost 20 streams and all requests of which the four
-/// best engines were there (scale-1 of the grown cmuca-cotacao).
+/// If all four ranked engines are in one remote zone and that zone is cut off, its requests and
+/// streams are lost. A cut zone cost 20 streams in this way.
 #[test]
-fn the_second_choice_is_near_when_the_first_is_far() {
+fn the_second_choice_is_local_if_the_first_is_remote() {
     let mut control = control();
     control.offer_config(Arc::new(config(1)));
     let mut engines: Vec<Replica> = (0..8).map(|n| engine(&format!("far{n}"), "z2")).collect();
@@ -129,10 +129,11 @@
     assert_eq!(ranking.replicas[1].id, "near");
 }
 
-/// A stream between zones is lost when they are cut off from each other.
+/// A stream between zones is lost if they are cut off from each other, so the local zone is
+/// preferred.
 #[test_case(20, "near"; "a fifth of the memory more")]
 #[test_case(50, "far"; "half of the memory more")]
-fn a_near_engine_may_be_somewhat_fuller(more_percent: u64, expected: &str) {
+fn a_local_engine_may_be_somewhat_fuller(more_percent: u64, expected: &str) {
     let mut control = control();
     control.offer_config(Arc::new(config(1)));
     let engines = vec![engine("near", "z1"), engine("far", "z2")];
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn a_replica_gets_no_more_requests_than_it_takes_connections() {
+fn a_replica_gets_at_most_max_connections_requests() {
     let mut control = control_with(&["e1"]);
     let mut small = config(2);
     small.services[0].max_connections = 2;
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn a_failing_replica_is_left_alone_unless_all_fail() {
+fn a_failing_replica_is_avoided_unless_all_fail() {
     let mut control = control_with(&["e1", "e2"]);
     control.failed(ZERO, "e1");
     for number in 0..4 {
@@ -173,15 +174,15 @@
     assert!(control.place(ZERO, ask("last")).is_ok());
 }
 
-/// Generated schedules: what is counted always equals what runs, nothing is
-/// placed on what leaves, and no session has its copy where it runs.
+/// In generated schedules, the counted load always equals the running requests, nothing is placed
+/// on removed engines, and no session has its backup on its own engine.
 #[test]
-fn counts_follow_what_runs() {
+fn counted_load_equals_running_requests() {
     for seed in 0..300 {
         let mut random = Pcg32::seed_from_u64(seed);
         let mut control = control_with(&["e1", "e2", "e3", "e4"]);
         let mut running: Vec<String> = Vec::new();
-        let mut gone: HashSet<String> = HashSet::new();
+        let mut removed: HashSet<String> = HashSet::new();
         for step in 0..120_u64 {
             let now = ms(step * 40);
             match random.next_u32() % 6 {
@@ -189,28 +190,28 @@
                     let request = format!("r{step}");
                     if let Ok(ranking) = control.place(now, ask(&request)) {
                         let engine = &ranking.replicas[0].id;
-                        assert!(!gone.contains(engine), "seed {seed}: placed on {engine}");
+                        assert!(!removed.contains(engine), "seed {seed}: placed on {engine}");
                         assert_ne!(Some(engine), ranking.backup.as_ref().map(|b| &b.id));
                         running.push(request);
                     }
                 }
                 3 if !running.is_empty() => {
-                    let place = random.next_u32() as usize % running.len();
-                    let request = running.swap_remove(place);
+                    let index = random.next_u32() as usize % running.len();
+                    let request = running.swap_remove(index);
                     control.ended(now, &request, RunEnd::Answered);
                 }
                 4 if !running.is_empty() => {
-                    let place = random.next_u32() as usize % running.len();
-                    if let Some(target) = control.fail_over(now, &running[place]) {
+                    let index = random.next_u32() as usize % running.len();
+                    if let Some(target) = control.fail_over(now, &running[index]) {
                         assert_ne!(target.replica.id, target.from);
-                        assert!(!gone.contains(&target.replica.id), "seed {seed}");
+                        assert!(!removed.contains(&target.replica.id), "seed {seed}");
                     }
                 }
-                _ if gone.len() < 2 => {
+                _ if removed.len() < 2 => {
                     let id = format!("e{}", random.next_u32() % 4 + 1);
-                    let news = vec![ReplicaChange::Removed(id.clone())];
-                    control.change_replicas(now, step + 2, news);
-                    gone.insert(id);
+                    let changes = vec![ReplicaChange::Removed(id.clone())];
+                    control.change_replicas(now, step + 2, changes);
+                    removed.insert(id);
                 }
                 _ => {}
             }
@@ -220,11 +221,11 @@
     }
 }
 
-/// Instances that hear of each other's sessions late, by way of relays, must not
-/// all choose the engine that seems best; those that hear at once should.
-#[test_case(false, 1, 1; "heard at once")]
-#[test_case(true, 3, 5; "heard by way of relays")]
-fn choices_at_the_same_moment(by_relays: bool, least: usize, most: usize) {
+/// Instances that receive each other's load late, through relays, must not all choose the engine
+/// that seems best; those that receive it directly should.
+#[test_case(false, 1, 1; "load received directly")]
+#[test_case(true, 3, 5; "load received through relays")]
+fn simultaneous_choices(by_relays: bool, least: usize, most: usize) {
     let load = |session_tokens| LoadShare {
         session_tokens,
         ..LoadShare::default()
@@ -251,9 +252,9 @@
     assert!((least..=most).contains(&chosen.len()), "{chosen:?}");
 }
 
-/// Only the first event is news for the others: the prompt waits no longer.
+/// Only the first event is an update for the other instances: the prompt is no longer pending.
 #[test]
-fn a_session_begins_once() {
+fn a_session_starts_once() {
     let mut control = control_with(&["e1"]);
     first(&mut control, "r1");
     assert_eq!(control.shares()["e1"].unread_tokens, 1_000);
@@ -263,10 +264,10 @@
     assert!(!control.progress(ms(0), "another", 4));
 }
 
-/// Instances of zones without room hear of each other late; they must not all turn
-/// to the same engine elsewhere, also when chance has it so.
+/// Instances of zones without room receive each other's load late. They must not all choose the
+/// same engine in another zone, whatever the seed.
 #[test]
-fn zones_turn_to_different_engines_elsewhere() {
+fn full_zones_choose_different_remote_engines() {
     let zones = ["z1", "z2", "z3", "z4"];
     let engines = ["e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"];
     let chosen: HashSet<String> = zones
--- a/crates/core/tests/gateway_routes.rs
+++ b/crates/core/tests/gateway_routes.rs
@@ -43,9 +43,9 @@
 #[test_case("/a/", Some("key-two"), Ok(Some("two")); "another known key")]
 #[test_case("/a/", Some("key-three"), Err(RouteFault::UnknownKey); "an unknown key")]
 #[test_case("/a/", None, Err(RouteFault::UnknownKey); "no key")]
-#[test_case("/open/", None, Ok(None); "no key where none is needed")]
-#[test_case("/open/", Some("key-three"), Ok(None); "an unknown key where none is needed")]
-#[test_case("/open/", Some("key-one"), Ok(Some("one")); "a known key where none is needed")]
+#[test_case("/open/", None, Ok(None); "no key on an anonymous route")]
+#[test_case("/open/", Some("key-three"), Ok(None); "an unknown key on an anonymous route")]
+#[test_case("/open/", Some("key-one"), Ok(Some("one")); "a known key on an anonymous route")]
 fn workspace_of(path: &str, key: Option<&str>, expected: Result<Option<&str>, RouteFault>) {
     let table = table();
     let route = table.route("shop.example", path).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn without_workspaces_no_key_is_asked_for() {
+fn without_workspaces_no_key_is_required() {
     let mut config = config(1);
     config.workspaces = None;
     let table = RouteTable::new(Arc::new(config));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn configurations_only_move_forward() {
+fn configuration_versions_only_increase() {
     let mut control = control();
     let versions = [3, 7, 5, 7, 8, 1];
     let verdicts: Vec<bool> = versions
@@ -103,8 +103,8 @@
 #[test_case(|config| config.services.clear(), "unknown service"; "unknown service")]
 #[test_case(|config| config.routes.push(config.routes[0].clone()), "repeats a host and path"; "twice")]
 #[test_case(|config| config.routes[0].timeout = std::time::Duration::ZERO, "timeout"; "no timeout")]
-fn a_faulty_configuration_is_refused(
-    spoil: fn(&mut iristhread_core::GatewayConfig),
+fn an_invalid_configuration_is_refused(
+    invalidate: fn(&mut iristhread_core::GatewayConfig),
     expected: &str,
 ) {
     let mut control = control();
@@ -112,19 +112,19 @@
         control.offer_config(Arc::new(config(4))),
         ConfigVerdict::InForce
     );
-    let mut spoiled = config(5);
-    spoil(&mut spoiled);
-    if spoiled.version == 0 {
+    let mut invalid = config(5);
+    invalidate(&mut invalid);
+    if invalid.version == 0 {
         assert!(
-            spoiled
+            invalid
                 .faults()
                 .iter()
                 .any(|fault| fault.contains(expected))
         );
         return;
     }
-    let ConfigVerdict::Refused(faults) = control.offer_config(Arc::new(spoiled)) else {
-        panic!("it was not refused");
+    let ConfigVerdict::Refused(faults) = control.offer_config(Arc::new(invalid)) else {
+        panic!("the configuration was not refused");
     };
     assert!(
         faults.iter().any(|fault| fault.contains(expected)),
--- a/crates/core/tests/gateway_scene/fleet.rs
+++ b/crates/core/tests/gateway_scene/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances that hear each other.
+//! Instances that receive each other's heartbeats.
 
 use std::net::SocketAddr;
 
@@ -39,7 +39,7 @@
     )
 }
 
-/// All instances of a zone hear each other.
+/// Creates instances of one zone that have received each other's heartbeats.
 pub fn zone_of(count: u8, now: Now) -> Vec<FleetMembers> {
     (1..=count)
         .map(|own| {
--- a/crates/core/tests/gateway_scene/mod.rs
+++ b/crates/core/tests/gateway_scene/mod.rs
@@ -1,4 +1,4 @@
-//! Builds small scenes for the gateway's decisions.
+//! Test environments for the gateway's decisions.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod fleet;
@@ -25,10 +25,10 @@
 use iristhread_core::RouteTarget;
 use iristhread_core::ToldLoads;
 
-/// Tokens that fit into one engine of the scene.
+/// Memory of one engine of the tests, in tokens.
 pub const MEMORY_TOKENS: u64 = 10_000;
 
-/// A moment in milliseconds.
+/// Returns a time in milliseconds.
 pub const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Decisions that know no configuration.
+/// A gateway without a configuration.
 pub fn control() -> GatewayControl {
     GatewayControl::new(terms())
 }
@@ -132,7 +132,7 @@
     }
 }
 
-/// The same engine, leaving.
+/// The same engine, draining.
 pub fn leaving(id: &str, zone: &str) -> Replica {
     Replica {
         leaving: true,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Decisions with a configuration and engines in zone z1.
+/// A gateway with a configuration and engines in zone z1.
 pub fn control_with(engines: &[&str]) -> GatewayControl {
     let mut control = control();
     control.offer_config(Arc::new(config(1)));
@@ -149,7 +149,7 @@
     control
 }
 
-/// The content of a request whose body is `body`.
+/// Returns the fingerprint of a request with a body.
 pub fn fingerprint(body: &str) -> Fingerprint {
     Fingerprint::of(&Content {
         workspace: Some("one"),
@@ -160,7 +160,7 @@
     })
 }
 
-/// A session of 1,000 tokens of prompt and a guess of 400 tokens.
+/// A session with a prompt of 1,000 tokens and an estimated output of 400 tokens.
 pub fn ask(request: &str) -> PlacementRequest {
     PlacementRequest {
         request: request.to_owned(),
@@ -174,7 +174,7 @@
     }
 }
 
-/// Loads an engine so that it is chosen last.
+/// Loads an engine so that it is ranked last.
 pub fn crowd(control: &mut GatewayControl, id: &str) {
     let load = LoadShare {
         session_tokens: MEMORY_TOKENS / 2,
@@ -184,7 +184,7 @@
     control.apply_peer_load(Duration::ZERO, told("i2", 1, shares));
 }
 
-/// What an instance of zone z1 tells.
+/// The load that an instance of zone z1 advertises.
 pub fn told(instance: &str, sequence: u64, shares: LoadShares) -> ToldLoads {
     ToldLoads {
         instance: instance.to_owned(),
--- a/crates/daemon/src/engines/engine_watch.rs
+++ b/crates/daemon/src/engines/engine_watch.rs
@@ -34,8 +34,8 @@
         let Some(checks) = checks.await else {
             return;
         };
-        let asked = join_all(checks.ask.into_iter().map(|engine| ask(&app, engine)));
-        let looked = join_all(checks.look.into_iter().map(|engine| look(&app, engine)));
+        let asked = join_all(checks.query.into_iter().map(|engine| ask(&app, engine)));
+        let looked = join_all(checks.probe.into_iter().map(|engine| look(&app, engine)));
         join(asked, looked).await;
     }
 }
--- a/crates/daemon/src/gateway/gateway_thread.rs
+++ b/crates/daemon/src/gateway/gateway_thread.rs
@@ -239,7 +239,7 @@
             }
             GatewayMessage::HeardUnreachable { replica } => {
                 if self.is_current(&replica) {
-                    self.control.hear_unreachable(now, &replica.id);
+                    self.control.apply_peer_unreachable(now, &replica.id);
                 }
             }
             GatewayMessage::Failed { replica } => self.failed(&replica),
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -79,7 +79,7 @@
     pub(super) fn leaves(&mut self, server: &ServerLife, source: Option<String>) {
         let now = self.clock.now();
         let to_us = source.is_none();
-        if let Some(evacuations) = self.control.leaves(now, server, to_us) {
+        if let Some(evacuations) = self.control.report_draining(now, server, to_us) {
             self.said_it_leaves(server, source, evacuations);
         }
         self.tell_stops();
@@ -111,7 +111,7 @@
                 "backend_server" => &server.id, "rest_ms" => rest.as_millis() as u64,
                 "list_revision" => %self.control.list().revision());
         }
-        if let Some(evacuations) = self.control.noticed(now, server, notice) {
+        if let Some(evacuations) = self.control.observe_notice(now, server, notice) {
             self.said_it_leaves(server, None, evacuations);
         }
         self.tell_stops();
@@ -256,7 +256,7 @@
 
     /// Logs what has changed of the suspicions; the others should know it at once.
     pub(super) fn tell_suspicions(&mut self) {
-        let news = self.control.suspicion_news();
+        let news = self.control.suspicion_updates();
         if !news.is_empty() {
             self.news.notify_one();
         }
