--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -27,7 +27,7 @@
 
 impl Control {
     /// Notes what an answer says of its server's limit.
-    pub(super) fn limit_noticed(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
+    pub(super) fn observe_limit(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
         let limit = heard.notice.limit;
         if limit == NamedLimit::NotTold && !heard.tells_limits {
             return;
@@ -54,14 +54,14 @@
         if !self.limits.has(server.life) {
             return true;
         }
-        let others = self.wanted_by_others(now, &server);
+        let others = self.demand_of_others(now, &server);
         self.limits.wish(now, server.life, others)
     }
 
     /// Time until this instance may send something to a limited server; `None` if it may now.
     pub(super) fn turn_in(&self, now: Now, backend: &str) -> Option<Duration> {
         let server = self.server_life(backend)?;
-        let others = self.wanted_by_others(now, &server);
+        let others = self.demand_of_others(now, &server);
         self.limits.turn_in(now, server.life, others)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// One wish more than was counted, since rare ones are forgotten between two.
-    fn wanted_by_others(&self, now: Now, server: &ServerLife) -> RequestRate {
+    fn demand_of_others(&self, now: Now, server: &ServerLife) -> RequestRate {
         let one = RequestRate::of_per_s(1.0 / self.limit_window().as_secs_f64());
         let own = self.limits.wanted(now, server.life).plus(one);
         own.times(self.instances().saturating_sub(1))
--- a/crates/core/src/completion/control/notices.rs
+++ b/crates/core/src/completion/control/notices.rs
@@ -18,7 +18,7 @@
         if let Some(view) = self.book.view_mut(backend) {
             view.noticed(now, &heard.notice);
         }
-        self.limit_noticed(now, backend, heard);
+        self.observe_limit(now, backend, heard);
     }
 
     /// Whether a call may be sent to a runner now: it may have said something since the
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -24,7 +24,7 @@
 
 impl GatewayControl {
     /// Applies the limit that a server names in an answer; returns the change, if any.
-    pub fn limit_noticed(
+    pub fn observe_limit(
         &mut self,
         now: Now,
         server: &ServerLife,
@@ -62,7 +62,7 @@
     /// Returns the demand of all other instances for a limited server. Instances that have not
     /// advertised theirs since the limit was named, because it is new or they are silent, are
     /// assumed to have the same demand as this one.
-    pub fn wanted_by_others(&self, now: Now, server: &ServerLife) -> RequestRate {
+    pub fn demand_of_others(&self, now: Now, server: &ServerLife) -> RequestRate {
         let advertised = self.peers.wanted_of(&server.id);
         let Some(since) = self.limits.limited_since(server.life) else {
             return advertised;
@@ -145,7 +145,7 @@
     /// Returns the time until this instance may send a limited replica one more request than the
     /// callers that already wait for it; `None` if it may send now.
     pub(super) fn turn_in(&self, now: Now, replica: &Replica) -> Option<Duration> {
-        let others = self.wanted_by_others(now, &replica.server_life());
+        let others = self.demand_of_others(now, &replica.server_life());
         self.limits.turn_in(now, replica.life(), others)
     }
 
@@ -164,7 +164,7 @@
         if !self.limits.has(server.life) {
             return true;
         }
-        let others = self.wanted_by_others(now, server);
+        let others = self.demand_of_others(now, server);
         self.limits.wish(now, server.life, others)
     }
 }
--- a/crates/core/tests/gateway_limit_schedules.rs
+++ b/crates/core/tests/gateway_limit_schedules.rs
@@ -118,7 +118,7 @@
                 let sent_at = now.saturating_sub(ms(3_000));
                 let life = self.fleet.servers[server].server_life();
                 let control = &mut self.fleet.instances[number];
-                control.limit_noticed(now, &life, &names_limit(limit, sent_at));
+                control.observe_limit(now, &life, &names_limit(limit, sent_at));
             }
         }
     }
--- a/crates/core/tests/gateway_limits.rs
+++ b/crates/core/tests/gateway_limits.rs
@@ -126,7 +126,7 @@
     };
     let mut control = instance(0, &[born(1)]);
     let heard = names_limit("0", ms(900));
-    control.limit_noticed(ms(1_000), &born(1).server_life(), &heard);
+    control.observe_limit(ms(1_000), &born(1).server_life(), &heard);
     assert!(control.place(ms(1_100), ask("r1")).is_ok(), "tried once");
     assert!(control.place(ms(1_100), ask("r2")).is_err());
     control.offer_replicas(ms(1_200), 2, vec![born(2)]);
@@ -146,7 +146,7 @@
         assert!(control.place(ms(1_000), ask(&request)).is_ok());
     }
     let life = server.server_life();
-    control.limit_noticed(ms(1_050), &life, &names_limit("1", ms(1_000)));
+    control.observe_limit(ms(1_050), &life, &names_limit("1", ms(1_000)));
     let sent = (0..8).filter(|number| control.may_send(ms(1_100), &life, &format!("r{number}")));
     let sent = sent.count();
     assert!(sent <= 2, "{sent}");
@@ -158,7 +158,7 @@
     let servers = [engine("a", "z1"), engine("b", "z1")];
     let mut control = instance(0, &servers);
     let life = servers[0].server_life();
-    control.limit_noticed(ms(1_000), &life, &names_limit("0", ms(900)));
+    control.observe_limit(ms(1_000), &life, &names_limit("0", ms(900)));
     control.may_send(ms(1_000), &life, "its one try");
     for number in 0..4 {
         control.failed(ms(1_000 + number), "b");
--- a/crates/core/tests/limit_scene/mod.rs
+++ b/crates/core/tests/limit_scene/mod.rs
@@ -144,7 +144,7 @@
             Some(limit) => names_limit(limit, now),
             None => names_none(now),
         };
-        control.limit_noticed(now, &first, &heard);
+        control.observe_limit(now, &first, &heard);
         control.ended(now, &id, RunEnd::Answered);
     }
 
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -104,7 +104,7 @@
     pub(super) fn noticed(&mut self, server: &ServerLife, heard: &HeardNotice) {
         let now = self.clock.now();
         let notice = &heard.notice;
-        let change = self.control.limit_noticed(now, server, heard);
+        let change = self.control.observe_limit(now, server, heard);
         self.limit_changed(server, change, None);
         if let Some(rest) = notice.rest() {
             info!(self.log, "backend server rests";
--- a/crates/daemon/src/gateway/gateway_thread/limits.rs
+++ b/crates/daemon/src/gateway/gateway_thread/limits.rs
@@ -34,7 +34,7 @@
             return;
         };
         let now = self.clock.now();
-        let others = self.control.wanted_by_others(now, server);
+        let others = self.control.demand_of_others(now, server);
         let (message, per_s) = match change {
             LimitChange::Limited(rate) => ("backend server names a limit", Some(rate.per_s())),
             LimitChange::Withdrawn => ("backend server names a limit no more", None),
