--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -84,12 +84,12 @@
         control.handle(
             NOW,
             0,
-            Event::RosterOffered {
+            Event::InstanceListOffered {
                 version: 1,
                 entries,
             },
         );
-        for (backend, _) in control.book().watched() {
+        for (backend, _) in control.backends().watched() {
             let report = report();
             control.handle(NOW, 0, Event::Report { backend, report });
         }
--- a/crates/bench/src/policy_world.rs
+++ b/crates/bench/src/policy_world.rs
@@ -116,7 +116,7 @@
             control.handle(
                 Duration::ZERO,
                 0,
-                Event::RosterOffered {
+                Event::InstanceListOffered {
                     version: 1,
                     entries,
                 },
--- a/crates/core/src/completion.rs
+++ b/crates/core/src/completion.rs
@@ -1,6 +1,6 @@
 //! Decisions of the completion interface: sessions, calls with tickets, and where they run.
 
-pub(crate) mod backend_book;
+pub(crate) mod backend_registry;
 pub(crate) mod backend_view;
 pub(crate) mod call_run;
 pub(crate) mod command;
@@ -12,4 +12,4 @@
 pub(crate) mod session;
 pub(crate) mod stall_bound;
 pub(crate) mod ticket;
-pub(crate) mod ticket_book;
+pub(crate) mod ticket_store;
--- a/crates/core/src/completion/backend_book.rs
+++ b/crates/core/src/completion/backend_registry.rs
@@ -18,11 +18,11 @@
 
 /// Engines per model that one instance looks at: enough for two good choices,
 /// and a cost per decision that does not grow with the fleet.
-const SUBSET: usize = 16;
+const ENGINES_PER_MODEL: usize = 16;
 
 /// Views by name, and per model the subset that this instance uses.
 #[derive(Debug)]
-pub struct BackendBook {
+pub struct BackendRegistry {
     instance: InstanceId,
     zone: ZoneId,
     views: BTreeMap<BackendId, BackendView>,
@@ -30,15 +30,15 @@
     subset: usize,
 }
 
-impl BackendBook {
+impl BackendRegistry {
     /// An empty book of one instance.
     pub fn new(instance: InstanceId, zone: ZoneId) -> Self {
-        BackendBook {
+        BackendRegistry {
             instance,
             zone,
             views: BTreeMap::new(),
             by_model: HashMap::new(),
-            subset: SUBSET,
+            subset: ENGINES_PER_MODEL,
         }
     }
 
@@ -68,7 +68,7 @@
         let serves = |server: &&BackendServer| {
             server.kind == BackendKind::Engine && server.models.iter().any(|m| m == model)
         };
-        let (near, far): (Vec<_>, Vec<_>) = document
+        let (local, remote): (Vec<_>, Vec<_>) = document
             .backend_servers
             .iter()
             .filter(serves)
@@ -78,8 +78,8 @@
             let rank = rendezvous_rank(&topic, names);
             rank.into_iter().map(str::to_owned).collect()
         };
-        let mut subset = ranked(near);
-        subset.extend(ranked(far));
+        let mut subset = ranked(local);
+        subset.extend(ranked(remote));
         subset.truncate(self.subset);
         subset
     }
@@ -136,8 +136,8 @@
         };
         let mut views: Vec<&BackendView> = self.views.values().filter(runs).collect();
         views.sort_by_key(|view| {
-            let far = view.server.availability_zone != self.zone;
-            (view.on_probation(), far, view.own_sessions())
+            let is_remote = view.server.availability_zone != self.zone;
+            (view.on_probation(), is_remote, view.own_sessions())
         });
         views.into_iter().map(|view| &view.server).collect()
     }
--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -33,11 +33,11 @@
     own: MemoryDemand,
     started_since: MemoryDemand,
     sessions: HashMap<RequestId, OwnSession>,
-    pause: FailurePause,
+    failure_backoff: FailurePause,
     /// The rest that it asked for, until it has taken work again.
-    rest: Option<ServerRest>,
+    backoff: Option<ServerRest>,
     /// Whether one of its answers said that it leaves.
-    said_leaving: bool,
+    notice_draining: bool,
 }
 
 impl BackendView {
@@ -51,9 +51,9 @@
             own: MemoryDemand::default(),
             started_since: MemoryDemand::default(),
             sessions: HashMap::new(),
-            pause: FailurePause::default(),
-            rest: None,
-            said_leaving: false,
+            failure_backoff: FailurePause::default(),
+            backoff: None,
+            notice_draining: false,
         }
     }
 
@@ -72,14 +72,14 @@
         if repeated {
             return false;
         }
-        let is_new_life = self
+        let is_new_incarnation = self
             .report
             .as_ref()
             .is_some_and(|last| report.sequence < last.sequence);
-        if is_new_life {
+        if is_new_incarnation {
             // It counts its reports from its start: what the life before said is void.
-            self.rest = None;
-            self.said_leaving = false;
+            self.backoff = None;
+            self.notice_draining = false;
         }
         let own_tokens = self.sessions.values().map(OwnSession::size).sum();
         self.own_at_report = (self.own_sessions(), own_tokens);
@@ -87,7 +87,7 @@
         self.reported_at = now;
         self.started_since = MemoryDemand::default();
         self.refresh(estimator);
-        is_new_life
+        is_new_incarnation
     }
 
     /// Sums up anew: the estimator has learnt, and rounding errors add up.
@@ -111,8 +111,8 @@
         self.own.add(&session.counted, 1.0);
         self.started_since.add(&session.counted, 1.0);
         self.end(&request);
-        if let Some(rest) = &mut self.rest {
-            rest.sent(now, &request);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.sent(now, &request);
         }
         self.sessions.insert(request, session);
     }
@@ -124,7 +124,7 @@
         generated: u32,
         estimator: &LengthEstimator,
     ) {
-        self.rest.take_if(|rest| rest.is_over_by(request));
+        self.backoff.take_if(|backoff| backoff.is_over_by(request));
         if let Some(session) = self.sessions.get_mut(request) {
             self.own.add(&session.counted, -1.0);
             session.generated = generated;
@@ -135,8 +135,8 @@
 
     /// Counts a session no longer.
     pub(crate) fn end(&mut self, request: &RequestId) {
-        if let Some(rest) = &mut self.rest {
-            rest.gone(request);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.gone(request);
         }
         if let Some(session) = self.sessions.remove(request) {
             self.own.add(&session.counted, -1.0);
@@ -146,54 +146,56 @@
     /// Notes a failure of a request or report; pauses the backend server with
     /// exponential backoff.
     pub(crate) fn fail(&mut self, now: Now) {
-        self.pause.fail(now);
+        self.failure_backoff.fail(now);
     }
 
     /// Notes success: the backend server counts as well again.
     pub(crate) fn succeed(&mut self) {
-        self.pause.succeed();
+        self.failure_backoff.succeed();
     }
 
     /// Notes what one of its answers said of it.
-    pub(crate) fn noticed(&mut self, now: Now, notice: &ServerNotice) {
-        self.said_leaving |= notice.is_leaving;
+    pub(crate) fn observe_notice(&mut self, now: Now, notice: &ServerNotice) {
+        self.notice_draining |= notice.is_leaving;
         if let Some(time) = notice.rest() {
-            let rest = self.rest.get_or_insert_default();
-            rest.asked(now, time);
+            let backoff = self.backoff.get_or_insert_default();
+            backoff.asked(now, time);
         }
     }
 
     /// Notes that it answered a call: it takes work, unless it asked for rest since.
     pub(crate) fn answered(&mut self, now: Now) {
-        self.pause.succeed();
-        self.rest.take_if(|rest| rest.is_over(now));
+        self.failure_backoff.succeed();
+        self.backoff.take_if(|backoff| backoff.is_over(now));
     }
 
     /// Whether a call may be sent now; the first one after a rest tries it.
     pub(crate) fn may_call(&mut self, now: Now, request: &RequestId) -> bool {
-        if self.leaves() || !self.has_rested(now) {
+        if self.is_draining() || !self.backoff_allows_send(now) {
             return false;
         }
-        if let Some(rest) = &mut self.rest {
-            rest.sent(now, request);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.sent(now, request);
         }
         true
     }
 
     /// Whether it leaves, by whatever word.
-    pub(crate) fn leaves(&self) -> bool {
+    pub(crate) fn is_draining(&self) -> bool {
         let reported = self.report.as_ref().is_some_and(|report| report.leaving);
-        self.server.leaving || reported || self.said_leaving
+        self.server.leaving || reported || self.notice_draining
     }
 
     /// How much longer it rests, if it does.
-    pub(crate) fn rest_left(&self, now: Now) -> Option<Duration> {
-        let left = self.rest.as_ref().map(|rest| rest.left(now));
+    pub(crate) fn backoff_left(&self, now: Now) -> Option<Duration> {
+        let left = self.backoff.as_ref().map(|backoff| backoff.left(now));
         left.filter(|left| !left.is_zero())
     }
 
-    fn has_rested(&self, now: Now) -> bool {
-        self.rest.as_ref().is_none_or(|rest| rest.may_send(now))
+    fn backoff_allows_send(&self, now: Now) -> bool {
+        self.backoff
+            .as_ref()
+            .is_none_or(|backoff| backoff.may_send(now))
     }
 
     /// Why no new work may go there now, if so.
@@ -201,13 +203,13 @@
         if self.server.leaving {
             return Some("leaving by configuration");
         }
-        if self.leaves() {
+        if self.is_draining() {
             return Some("leaving by its own notice");
         }
-        if !self.has_rested(now) {
+        if !self.backoff_allows_send(now) {
             return Some("resting at its own request");
         }
-        if self.pause.is_paused(now) {
+        if self.failure_backoff.is_paused(now) {
             return Some("paused after failures");
         }
         None
@@ -215,7 +217,7 @@
 
     /// Whether it is on probation: the pause is over, and one request may try.
     pub(crate) fn on_probation(&self) -> bool {
-        self.pause.on_probation()
+        self.failure_backoff.on_probation()
     }
 
     /// Sessions of this instance there.
--- a/crates/core/src/completion/call_run.rs
+++ b/crates/core/src/completion/call_run.rs
@@ -100,8 +100,8 @@
 
     /// Notes what became of the try under way.
     pub fn sent(&mut self, result: SendResult) {
-        let is_doubtful = matches!(result, SendResult::Lost | SendResult::Failed);
-        self.may_have_run |= is_doubtful;
+        let may_have_executed = matches!(result, SendResult::Lost | SendResult::Failed);
+        self.may_have_run |= may_have_executed;
         self.last = Some(result);
         self.tries_left = self.tries_left.saturating_sub(1);
     }
--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -8,8 +8,8 @@
 use rand_pcg::Pcg32;
 
 use crate::Admission;
-use crate::BackendBook;
 use crate::BackendId;
+use crate::BackendRegistry;
 use crate::BackendServer;
 use crate::Command;
 use crate::ConfigOrder;
@@ -34,7 +34,7 @@
 use crate::SpendVerdict;
 use crate::Suspicions;
 use crate::Ticket;
-use crate::TicketBook;
+use crate::TicketStore;
 use crate::Timeline;
 use crate::TimelineEvent;
 use crate::TimelineRecord;
@@ -43,9 +43,9 @@
 mod limits;
 mod membership;
 mod notices;
-mod placing;
+mod placement;
+mod quarantine;
 mod queueing;
-mod suspecting;
 
 /// Settings of the decisions.
 #[derive(Clone, Debug)]
@@ -87,11 +87,11 @@
     settings: ControlSettings,
     config: ConfigOrder,
     roster: Roster,
-    rota: ReaderRota,
-    reading: bool,
+    reader_rotation: ReaderRota,
+    reads_platform: bool,
     next_zone_exchange: Now,
-    next_far_exchange: Now,
-    book: BackendBook,
+    next_any_zone_exchange: Now,
+    backends: BackendRegistry,
     router: Router,
     estimator: LengthEstimator,
     queues: HashMap<String, FairQueue>,
@@ -100,15 +100,15 @@
     admission: Admission,
     open: HashSet<RequestId>,
     budget: RetryBudget,
-    tickets: TicketBook,
+    tickets: TicketStore,
     clock: HybridClock,
     wall_ms: u64,
     timeline: Timeline,
     random: Pcg32,
     suspicions: Suspicions,
-    proven: ProvenContents,
+    known_good: ProvenContents,
     /// Open requests that have run well for a while.
-    proven_requests: HashSet<RequestId>,
+    known_good_requests: HashSet<RequestId>,
     limits: ServerLimits,
 }
 
@@ -120,11 +120,11 @@
         Control {
             config: ConfigOrder::default(),
             roster: Roster::default(),
-            rota: ReaderRota::new(instance.clone(), zone.clone()),
-            reading: false,
+            reader_rotation: ReaderRota::new(instance.clone(), zone.clone()),
+            reads_platform: false,
             next_zone_exchange: Now::ZERO,
-            next_far_exchange: Now::ZERO,
-            book: BackendBook::new(instance.clone(), zone.clone()),
+            next_any_zone_exchange: Now::ZERO,
+            backends: BackendRegistry::new(instance.clone(), zone.clone()),
             router: Router::new(settings.policy, zone, settings.seed),
             estimator: LengthEstimator::default(),
             queues: HashMap::new(),
@@ -133,7 +133,7 @@
             admission: Admission::default(),
             open: HashSet::new(),
             budget: RetryBudget::default(),
-            tickets: TicketBook::new(
+            tickets: TicketStore::new(
                 instance.clone(),
                 settings.incarnation.clone(),
                 settings.ticket_lifetime,
@@ -144,8 +144,8 @@
             timeline: Timeline::new(instance, settings.timeline_records),
             random: Pcg32::seed_from_u64(settings.seed),
             suspicions: Suspicions::default(),
-            proven: ProvenContents::default(),
-            proven_requests: HashSet::new(),
+            known_good: ProvenContents::default(),
+            known_good_requests: HashSet::new(),
             limits: ServerLimits::default(),
             settings,
         }
@@ -160,7 +160,7 @@
             Event::Submit(submission) => self.submit(now, submission, &mut commands),
             Event::Adopt { submission, engine } => self.adopt(now, &submission, engine),
             Event::Progress { request, generated } => {
-                self.note_running(now, &request);
+                self.observe_progress(now, &request);
                 self.progress(&request, generated);
             }
             Event::AttemptFinished { request, generated } => {
@@ -170,13 +170,13 @@
                 request,
                 engine_failed,
             } => self.attempt_lost(now, &request, engine_failed, &mut commands),
-            Event::ServerEnded {
+            Event::ServerCrashed {
                 backend,
                 fingerprint,
                 ran_for,
-            } => self.server_ended(now, &backend, fingerprint, ran_for, &mut commands),
+            } => self.server_crashed(now, &backend, fingerprint, ran_for, &mut commands),
             Event::CallAnswered { fingerprint } => self.ran_well(now, fingerprint),
-            Event::SuspectsHeard { suspects } => self.suspects_heard(now, &suspects),
+            Event::SuspectsReceived { suspects } => self.receive_suspects(now, &suspects),
             Event::Closed { request, workspace } => self.closed(&request, &workspace),
             Event::Report { backend, report } => {
                 self.reported(now, &backend, report);
@@ -184,7 +184,7 @@
             }
             Event::BackendFailed { backend } => self.backend_failed(now, &backend),
             Event::BackendAnswered { backend } => self.backend_answered(now, &backend),
-            Event::Noticed { backend, heard } => self.noticed(now, &backend, &heard),
+            Event::NoticeReceived { backend, heard } => self.observe_notice(now, &backend, &heard),
             Event::ConfigOffered {
                 version,
                 document,
@@ -194,10 +194,10 @@
             Event::ConfigConfirmed { version, ago } => {
                 self.config.confirm(now.saturating_sub(ago), version);
             }
-            Event::RosterOffered { version, entries } => {
+            Event::InstanceListOffered { version, entries } => {
                 self.roster.offer(version, entries);
             }
-            Event::PeerHeard {
+            Event::PeerMessageReceived {
                 instance,
                 incarnation,
                 config_version,
@@ -215,7 +215,7 @@
 
     fn tick(&mut self, now: Now, commands: &mut Vec<Command>) {
         self.expire(now, commands);
-        self.refuse_outlasted(now, commands);
+        self.refuse_blocked_by_backoff(now, commands);
         self.drain_all(now, commands);
         self.tick_membership(now, commands);
         self.suspicions.expire(now);
@@ -233,7 +233,7 @@
 
     /// Runners of a plain service, the best first.
     pub fn runners(&self, now: Now, service: &str) -> Vec<BackendServer> {
-        self.book
+        self.backends
             .runners(now, service)
             .into_iter()
             .cloned()
@@ -281,8 +281,8 @@
     }
 
     /// The backend servers.
-    pub fn book(&self) -> &BackendBook {
-        &self.book
+    pub fn backends(&self) -> &BackendRegistry {
+        &self.backends
     }
 
     /// Requests that wait, of all models.
--- a/crates/core/src/completion/control/membership.rs
+++ b/crates/core/src/completion/control/membership.rs
@@ -18,16 +18,16 @@
 use crate::TimelineEvent;
 
 /// Peers told at once about a new configuration.
-const FANOUT: usize = 3;
+const CONFIG_FANOUT: usize = 3;
 
 /// Time between exchanges with a random peer of the own zone.
-const ZONE_EXCHANGE: Duration = Duration::from_secs(1);
+const ZONE_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Time between exchanges with a random peer of any zone.
-const FAR_EXCHANGE: Duration = Duration::from_secs(5);
+const ANY_ZONE_EXCHANGE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Faults of a refused document that the time line names.
-const FAULTS_NAMED: usize = 3;
+const MAX_REPORTED_FAULTS: usize = 3;
 
 impl Control {
     pub(super) fn config_offered(
@@ -44,15 +44,18 @@
         };
         match self.config.offer(offer) {
             OfferVerdict::InForce => {
-                self.book.adopt(&document);
-                self.forget_others(&document);
+                self.backends.adopt(&document);
+                self.forget_removed_workspaces(&document);
                 self.note(None, TimelineEvent::ConfigInForce { version, source });
                 commands.push(Command::ConfigInForce { version });
-                self.spread(commands);
+                self.exchange_with_peers(commands);
                 self.drain_all(now, commands);
             }
             OfferVerdict::Refused(faults) => {
-                let named = faults.iter().take(FAULTS_NAMED).map(ToString::to_string);
+                let named = faults
+                    .iter()
+                    .take(MAX_REPORTED_FAULTS)
+                    .map(ToString::to_string);
                 let reason = named.collect::<Vec<_>>().join("; ");
                 self.note(None, TimelineEvent::ConfigRefused { version, reason });
             }
@@ -61,7 +64,7 @@
     }
 
     /// Drops what was learnt of workspaces that are gone.
-    fn forget_others(&mut self, document: &Document) {
+    fn forget_removed_workspaces(&mut self, document: &Document) {
         let workspace_of = |class: &str| class.split('/').next().map(str::to_owned);
         let names = document.workspaces.iter().map(|workspace| &workspace.name);
         let names: HashSet<&String> = names.collect();
@@ -81,9 +84,9 @@
         }
     }
 
-    pub(super) fn spread(&mut self, commands: &mut Vec<Command>) {
+    pub(super) fn exchange_with_peers(&mut self, commands: &mut Vec<Command>) {
         let own_zone = self.settings.zone.clone();
-        self.exchange_with_random(Some(&own_zone), FANOUT, commands);
+        self.exchange_with_random(Some(&own_zone), CONFIG_FANOUT, commands);
         self.exchange_with_random(None, 1, commands);
     }
 
@@ -91,18 +94,18 @@
         let confirmed_at = self.config.confirmed_at().unwrap_or(Now::ZERO);
         let age = now.saturating_sub(confirmed_at);
         let has_nothing = self.config.version() == 0;
-        let reads = has_nothing || self.rota.reads(&self.roster, age);
-        if reads != self.reading {
-            self.reading = reads;
+        let reads = has_nothing || self.reader_rotation.reads(&self.roster, age);
+        if reads != self.reads_platform {
+            self.reads_platform = reads;
             commands.push(Command::ReadPlatform { reads });
         }
         if now >= self.next_zone_exchange {
-            self.next_zone_exchange = now + self.jittered(ZONE_EXCHANGE);
+            self.next_zone_exchange = now + self.jittered(ZONE_EXCHANGE_INTERVAL);
             let own_zone = self.settings.zone.clone();
             self.exchange_with_random(Some(&own_zone), 1, commands);
         }
-        if now >= self.next_far_exchange {
-            self.next_far_exchange = now + self.jittered(FAR_EXCHANGE);
+        if now >= self.next_any_zone_exchange {
+            self.next_any_zone_exchange = now + self.jittered(ANY_ZONE_EXCHANGE_INTERVAL);
             self.exchange_with_random(None, 1, commands);
         }
     }
--- a/crates/core/src/completion/control/placing.rs
+++ b/crates/core/src/completion/control/placement.rs
@@ -30,7 +30,7 @@
 const MAX_SHARERS: u32 = 8;
 
 /// Prefixes remembered; the oldest half goes when it is full.
-const MAX_WARM: usize = 8_192;
+const MAX_WARM_PREFIXES: usize = 8_192;
 
 /// Quantile of the length that a workspace is charged for at the start.
 const CHARGED_QUANTILE: f64 = 0.5;
@@ -73,7 +73,7 @@
                 return Ok(());
             }
             if nothing_there && !submission.delivering {
-                return Err(self.nothing_takes(now, &submission.model));
+                return Err(self.no_engine_refusal(now, &submission.model));
             }
         }
         self.enqueue(now, &workspace, submission)
@@ -153,7 +153,7 @@
                 sharers,
                 need: &need,
             };
-            let choice = self.router.choose(&self.book, &context);
+            let choice = self.router.choose(&self.backends, &context);
             match &choice.engine {
                 Some(engine) if !self.wish(now, engine) => need.limited.push(engine.clone()),
                 _ => return choice,
@@ -165,8 +165,8 @@
     /// included: those of the zone where the zone has engines enough, else all.
     fn sharers(&self, model: &str) -> u32 {
         let own_zone = self.settings.zone.as_str();
-        let is_near = |view: &BackendView| view.server.availability_zone == own_zone;
-        let instances = match self.book.subset(model).all(is_near) {
+        let is_local = |view: &BackendView| view.server.availability_zone == own_zone;
+        let instances = match self.backends.subset(model).all(is_local) {
             true => self.roster.live_in(own_zone).len(),
             false => self.roster.entries().count(),
         };
@@ -184,7 +184,7 @@
         let Some(engine) = choice.engine else {
             return;
         };
-        let Some(address) = self.book.view(&engine).map(|view| view.server.address) else {
+        let Some(address) = self.backends.view(&engine).map(|view| view.server.address) else {
             return;
         };
         let request = submission.request.clone();
@@ -217,7 +217,7 @@
             generated: submission.generated,
             ..OwnSession::default()
         };
-        if let Some(view) = self.book.view_mut(&engine) {
+        if let Some(view) = self.backends.view_mut(&engine) {
             view.start(now, submission.request.clone(), session, &self.estimator);
         }
         let running = Running {
@@ -233,7 +233,7 @@
         let Some(running) = self.running.get(request) else {
             return;
         };
-        let Some(view) = self.book.view_mut(&running.engine) else {
+        let Some(view) = self.backends.view_mut(&running.engine) else {
             return;
         };
         view.succeed();
@@ -275,7 +275,7 @@
 
     pub(super) fn closed(&mut self, request: &RequestId, workspace: &WorkspaceId) {
         self.release(request);
-        self.proven_requests.remove(request);
+        self.known_good_requests.remove(request);
         for queue in self.queues.values_mut() {
             queue.remove(request);
         }
@@ -286,20 +286,20 @@
 
     fn release(&mut self, request: &RequestId) -> Option<Running> {
         let running = self.running.remove(request)?;
-        if let Some(view) = self.book.view_mut(&running.engine) {
+        if let Some(view) = self.backends.view_mut(&running.engine) {
             view.end(request);
         }
         Some(running)
     }
 
     pub(super) fn backend_failed(&mut self, now: Now, backend: &str) {
-        if let Some(view) = self.book.view_mut(backend) {
+        if let Some(view) = self.backends.view_mut(backend) {
             view.fail(now);
         }
     }
 
     pub(super) fn backend_answered(&mut self, now: Now, backend: &str) {
-        if let Some(view) = self.book.view_mut(backend) {
+        if let Some(view) = self.backends.view_mut(backend) {
             view.answered(now);
         }
     }
@@ -320,7 +320,7 @@
     }
 
     fn remember_warm(&mut self, prefix: u64, engine: &BackendId) {
-        if self.warm.len() >= MAX_WARM {
+        if self.warm.len() >= MAX_WARM_PREFIXES {
             let mut place = 0;
             self.warm.retain(|_, _| {
                 place += 1;
--- a/crates/core/src/completion/control/suspecting.rs
+++ b/crates/core/src/completion/control/quarantine.rs
@@ -20,12 +20,12 @@
 /// Backend servers have no name for each of their lives here: ends of one name that are
 /// seen within this time are one. Two instances see an end within milliseconds, and no
 /// server is back and ends again so soon.
-const SAME_END_MS: u64 = 1_000;
+const SAME_CRASH_WINDOW_MS: u64 = 1_000;
 
 impl Control {
     /// Notes that a backend server ended under a request that had run there for a time
     /// since its first token.
-    pub(super) fn server_ended(
+    pub(super) fn server_crashed(
         &mut self,
         now: Now,
         backend: &BackendId,
@@ -37,43 +37,43 @@
             return;
         }
         let end = ServerEnd {
-            life: self.life_of(backend),
+            life: self.incarnation_of(backend),
             at: now,
         };
-        let proven_at = self.proven.proven_at(fingerprint);
+        let proven_at = self.known_good.proven_at(fingerprint);
         self.suspicions
             .server_ended(now, fingerprint, proven_at, end);
-        self.spread(commands);
+        self.exchange_with_peers(commands);
     }
 
-    fn life_of(&self, backend: &BackendId) -> LifeId {
-        weight(backend, &(self.wall_ms / SAME_END_MS).to_string())
+    fn incarnation_of(&self, backend: &BackendId) -> LifeId {
+        weight(backend, &(self.wall_ms / SAME_CRASH_WINDOW_MS).to_string())
     }
 
     /// Takes what a peer suspects.
-    pub(super) fn suspects_heard(&mut self, now: Now, suspects: &[ToldSuspect]) {
+    pub(super) fn receive_suspects(&mut self, now: Now, suspects: &[ToldSuspect]) {
         for told in suspects {
-            let proven_at = self.proven.proven_at(told.fingerprint);
+            let proven_at = self.known_good.proven_at(told.fingerprint);
             self.suspicions.hear(now, proven_at, told);
         }
     }
 
     /// Notes that a request ran well.
     pub(super) fn ran_well(&mut self, now: Now, fingerprint: Fingerprint) {
-        self.proven.note(now, fingerprint);
+        self.known_good.note(now, fingerprint);
         self.suspicions.ran_well(now, fingerprint);
     }
 
     /// Notes progress of a request; what goes on for a while runs well.
-    pub(super) fn note_running(&mut self, now: Now, request: &RequestId) {
+    pub(super) fn observe_progress(&mut self, now: Now, request: &RequestId) {
         let Some(running) = self.running.get_mut(request) else {
             return;
         };
         let begun_at = *running.begun_at.get_or_insert(now);
         let fingerprint = running.fingerprint;
-        let is_news = !self.proven_requests.contains(request);
+        let is_news = !self.known_good_requests.contains(request);
         if is_news && now.saturating_sub(begun_at) >= RAN_WELL_AFTER {
-            self.proven_requests.insert(request.clone());
+            self.known_good_requests.insert(request.clone());
             self.ran_well(now, fingerprint);
         }
     }
@@ -92,7 +92,7 @@
         let Verdict::Quarantined { ends, until } = self.suspicions.verdict(fingerprint) else {
             return Ok(());
         };
-        if now >= until || self.proven_requests.contains(request) {
+        if now >= until || self.known_good_requests.contains(request) {
             return Ok(());
         }
         Err(Refusal::quarantined(ends, until - now))
--- a/crates/core/src/completion/control/queueing.rs
+++ b/crates/core/src/completion/control/queueing.rs
@@ -1,7 +1,7 @@
 //! What waits for an engine: when it starts, and when it is refused.
 
 use super::Control;
-use super::placing::BUSY_RETRY_AFTER;
+use super::placement::BUSY_RETRY_AFTER;
 use crate::Command;
 use crate::Now;
 use crate::Refusal;
@@ -13,7 +13,7 @@
 impl Control {
     /// Starts what waits for the models of one engine.
     pub(super) fn drain_engine(&mut self, now: Now, engine: &str, commands: &mut Vec<Command>) {
-        let Some(view) = self.book.view(engine) else {
+        let Some(view) = self.backends.view(engine) else {
             return;
         };
         for model in view.server.models.clone() {
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -86,7 +86,7 @@
         engine_failed: bool,
     },
     /// A backend server ended under a request.
-    ServerEnded {
+    ServerCrashed {
         /// The backend server.
         backend: BackendId,
         /// What the request consists of.
@@ -100,7 +100,7 @@
         fingerprint: Fingerprint,
     },
     /// A peer told which requests it suspects to end backend servers.
-    SuspectsHeard {
+    SuspectsReceived {
         /// Their contents.
         suspects: Vec<ToldSuspect>,
     },
@@ -124,7 +124,7 @@
         backend: BackendId,
     },
     /// An answer of a backend server said something of it.
-    Noticed {
+    NoticeReceived {
         /// Which.
         backend: BackendId,
         /// What it said.
@@ -159,14 +159,14 @@
         ago: Duration,
     },
     /// An instance list was read from the platform or a peer.
-    RosterOffered {
+    InstanceListOffered {
         /// Its version.
         version: u64,
         /// Its lines.
         entries: Vec<InstanceEntry>,
     },
     /// A peer spoke.
-    PeerHeard {
+    PeerMessageReceived {
         /// Its name.
         instance: InstanceId,
         /// Its process life.
--- a/crates/core/src/completion/router.rs
+++ b/crates/core/src/completion/router.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::BackendBook;
 use crate::BackendId;
+use crate::BackendRegistry;
 use crate::BackendView;
 use crate::LengthEstimator;
 use crate::Now;
@@ -138,7 +138,11 @@
         }
     }
 
-    pub(crate) fn choose(&mut self, book: &BackendBook, context: &RoutingContext<'_>) -> Choice {
+    pub(crate) fn choose(
+        &mut self,
+        book: &BackendRegistry,
+        context: &RoutingContext<'_>,
+    ) -> Choice {
         let mut candidates = Vec::new();
         let mut best: Option<(f64, BackendId)> = None;
         let mut may_wait = false;
@@ -146,7 +150,7 @@
         let views: Vec<&BackendView> = book.subset(&context.need.model).collect();
         for (place, view) in views.iter().enumerate() {
             let place = (place, views.len());
-            let verdict = self.judge(view, context, place);
+            let verdict = self.evaluate(view, context, place);
             let (score, reason) = match verdict {
                 Verdict::RuledOut(reason) => (None, reason.to_owned()),
                 Verdict::NoRoom(reason) => {
@@ -174,7 +178,7 @@
         }
     }
 
-    fn judge(
+    fn evaluate(
         &mut self,
         view: &BackendView,
         context: &RoutingContext<'_>,
@@ -208,7 +212,7 @@
 
     /// Each engine takes part with the chance that two of all are drawn.
     fn score_two_choices(&mut self, view: &BackendView, (_, count): (usize, usize)) -> Verdict {
-        let drawn = self.fraction() < 2.0 / count as f64;
+        let drawn = self.random_fraction() < 2.0 / count as f64;
         let load = view.sessions_of_all(1);
         let score = if drawn { load } else { load + 1e6 };
         Verdict::Scored(score, format!("drawn {drawn}, load {load:.0}"))
@@ -233,7 +237,7 @@
             let share = forecast.guarded * 100.0;
             return Verdict::NoRoom(format!("memory would reach {share:.0}%"));
         }
-        let far = view.server.availability_zone != self.zone;
+        let is_remote = view.server.availability_zone != self.zone;
         let parts = [
             ("memory", forecast.expected),
             (
@@ -241,7 +245,7 @@
                 all * SESSION_SCORE * (1.0 + view.step_ms() / 10.0),
             ),
             ("waiting", f64::from(view.waiting()) * WAITING_SCORE),
-            ("zone", if far { OTHER_ZONE_SCORE } else { 0.0 }),
+            ("zone", if is_remote { OTHER_ZONE_SCORE } else { 0.0 }),
             (
                 "probation",
                 if view.on_probation() {
@@ -251,7 +255,7 @@
                 },
             ),
             ("affinity", -affinity(view, need)),
-            ("noise", self.fraction() * NOISE_SCORE),
+            ("noise", self.random_fraction() * NOISE_SCORE),
         ];
         let score = parts.iter().map(|(_, part)| part).sum();
         let named = parts.iter().filter(|(_, part)| part.abs() > 0.0005);
@@ -259,7 +263,7 @@
         Verdict::Scored(score, reason.join(", "))
     }
 
-    fn fraction(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 }
--- a/crates/core/src/completion/stall_bound.rs
+++ b/crates/core/src/completion/stall_bound.rs
@@ -9,17 +9,17 @@
 const DEVIATION_GAIN: f64 = 0.25;
 
 /// Deviations above the mean that still count as the model's own pace.
-const DEVIATIONS: f64 = 8.0;
+const DEVIATION_FACTOR: f64 = 8.0;
 
 /// Factor on the mean, for streams with hardly any deviation.
 const MEAN_FACTOR: f64 = 20.0;
 
 /// Limits of the bound between tokens.
-const SHORTEST: Duration = Duration::from_millis(500);
-const LONGEST: Duration = Duration::from_secs(5);
+const MIN_BOUND: Duration = Duration::from_millis(500);
+const MAX_BOUND: Duration = Duration::from_secs(5);
 
 /// Bound until the first token of an attempt: prompts wait and are read first.
-const FIRST_TOKEN: Duration = Duration::from_secs(10);
+const FIRST_TOKEN_BOUND: Duration = Duration::from_secs(10);
 
 /// Adapts to the pace of one stream.
 #[derive(Clone, Debug)]
@@ -56,11 +56,11 @@
     /// The longest time without progress that is tolerated now.
     pub fn bound(&self) -> Duration {
         let Some(mean_s) = self.mean_s else {
-            return FIRST_TOKEN;
+            return FIRST_TOKEN_BOUND;
         };
-        let by_deviation = mean_s + DEVIATIONS * self.deviation_s;
+        let by_deviation = mean_s + DEVIATION_FACTOR * self.deviation_s;
         let bound_s = by_deviation.max(MEAN_FACTOR * mean_s);
-        Duration::from_secs_f64(bound_s).clamp(SHORTEST, LONGEST)
+        Duration::from_secs_f64(bound_s).clamp(MIN_BOUND, MAX_BOUND)
     }
 
     /// The moment after which the stream counts as stalled.
--- a/crates/core/src/completion/ticket_book.rs
+++ b/crates/core/src/completion/ticket_store.rs
@@ -42,7 +42,7 @@
 /// a record is proved never to have run. Spending and expiry are judged by the
 /// issuer's monotonic clock alone, so clocks of different machines play no part.
 #[derive(Debug)]
-pub struct TicketBook {
+pub struct TicketStore {
     instance: InstanceId,
     incarnation: Incarnation,
     lifetime: Duration,
@@ -51,7 +51,7 @@
     by_expiry: BTreeMap<u64, Vec<String>>,
 }
 
-impl TicketBook {
+impl TicketStore {
     /// Creates the book of one process life.
     pub fn new(
         instance: InstanceId,
@@ -59,7 +59,7 @@
         lifetime: Duration,
         capacity: usize,
     ) -> Self {
-        TicketBook {
+        TicketStore {
             instance,
             incarnation,
             lifetime,
@@ -82,7 +82,7 @@
 
     /// Decides about a ticket whose signature was verified.
     pub fn spend(&mut self, now: Now, ticket: &Ticket) -> SpendVerdict {
-        self.forget_old(now);
+        self.remove_expired(now);
         if ticket.instance != self.instance {
             return SpendVerdict::Forward {
                 instance: ticket.instance.clone(),
@@ -135,7 +135,7 @@
             .push(ticket.number.clone());
     }
 
-    fn forget_old(&mut self, now: Now) {
+    fn remove_expired(&mut self, now: Now) {
         let keep = self.by_expiry.split_off(&(millis(now) + 1));
         for number in std::mem::replace(&mut self.by_expiry, keep)
             .into_values()
--- a/crates/core/tests/call_history.rs
+++ b/crates/core/tests/call_history.rs
@@ -11,7 +11,7 @@
 use iristhread_core::SendResult;
 use iristhread_core::SpendVerdict;
 use iristhread_core::Ticket;
-use iristhread_core::TicketBook;
+use iristhread_core::TicketStore;
 use rand_core::Rng;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -88,7 +88,7 @@
 
 struct Instance {
     life: u32,
-    book: TicketBook,
+    book: TicketStore,
     runs: Vec<Run>,
     answers: HashMap<usize, (Outcome, u64)>,
 }
@@ -313,7 +313,7 @@
     fn new(number: usize, life: u32) -> Self {
         let name = number.to_string();
         Instance {
-            book: TicketBook::new(name, life.to_string(), LIFETIME, TICKETS_AT_ONCE),
+            book: TicketStore::new(name, life.to_string(), LIFETIME, TICKETS_AT_ONCE),
             life,
             runs: Vec::new(),
             answers: HashMap::new(),
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -129,7 +129,7 @@
     control.handle(
         now,
         0,
-        Event::RosterOffered {
+        Event::InstanceListOffered {
             version: 1,
             entries,
         },
@@ -181,7 +181,7 @@
         control.handle(
             now,
             0,
-            Event::RosterOffered {
+            Event::InstanceListOffered {
                 version: 1,
                 entries,
             },
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -131,7 +131,7 @@
             sent_at: Duration::ZERO,
             tells_limits: false,
         };
-        self.tell(Event::Noticed { backend, heard });
+        self.tell(Event::NoticeReceived { backend, heard });
     }
 
     fn lose(&mut self, request: &str) {
--- a/crates/daemon/src/completion/app.rs
+++ b/crates/daemon/src/completion/app.rs
@@ -68,7 +68,7 @@
         if notice.is_empty() && !heard.tells_limits {
             return;
         }
-        self.control.tell(Event::Noticed {
+        self.control.tell(Event::NoticeReceived {
             backend: backend.to_owned(),
             heard,
         });
--- a/crates/daemon/src/completion/generation/attempts.rs
+++ b/crates/daemon/src/completion/generation/attempts.rs
@@ -188,7 +188,7 @@
         let is_new = begun_at.is_none();
         if has_ended(self.placement.address, is_new).await {
             let ran_for = begun_at.map(|at| self.app.clock.now().saturating_sub(at));
-            self.app.control.tell(Event::ServerEnded {
+            self.app.control.tell(Event::ServerCrashed {
                 backend: self.placement.engine.clone(),
                 fingerprint: self.order.fingerprint(),
                 ran_for: ran_for.unwrap_or_default(),
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -202,7 +202,7 @@
             app.control.tell(Event::CallAnswered { fingerprint });
         }
         SendResult::Lost if has_ended(runner.address, true).await => {
-            app.control.tell(Event::ServerEnded {
+            app.control.tell(Event::ServerCrashed {
                 backend: runner.name.clone(),
                 fingerprint,
                 ran_for: Duration::ZERO,
--- a/crates/daemon/src/engines/engine_watch.rs
+++ b/crates/daemon/src/engines/engine_watch.rs
@@ -57,7 +57,7 @@
     let reach = reach_of(engine.address).await;
     let replica = engine.server_life();
     if reach == Reach::Refuses {
-        app.control.tell(GatewayMessage::ServerEnded {
+        app.control.tell(GatewayMessage::ServerCrashed {
             replica: replica.clone(),
         });
     }
--- a/crates/daemon/src/engines/notices.rs
+++ b/crates/daemon/src/engines/notices.rs
@@ -115,7 +115,7 @@
     }
 
     fn tell(&self, replica: &Replica, heard: HeardNotice) {
-        self.control.tell(GatewayMessage::Noticed {
+        self.control.tell(GatewayMessage::NoticeReceived {
             replica: replica.server_life(),
             heard,
         });
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -145,12 +145,12 @@
         replica: Replica,
     },
     /// Nothing listens any more where a replica was.
-    ServerEnded {
+    ServerCrashed {
         /// The replica.
         replica: ServerLife,
     },
     /// A peer tells which contents it suspects to end backend servers.
-    SuspectsHeard {
+    SuspectsReceived {
         /// The contents.
         suspects: Vec<ToldSuspect>,
     },
@@ -217,7 +217,7 @@
         source: Option<String>,
     },
     /// An answer said something of its replica.
-    Noticed {
+    NoticeReceived {
         /// The replica.
         replica: ServerLife,
         /// What it said.
@@ -330,7 +330,7 @@
     /// The directory answers again.
     OutageEnded,
     /// A peer told of the load of the replicas.
-    PeerHeard {
+    PeerMessageReceived {
         /// What it told.
         told: ToldLoads,
     },
--- a/crates/daemon/src/gateway/gateway_thread.rs
+++ b/crates/daemon/src/gateway/gateway_thread.rs
@@ -177,10 +177,10 @@
             GatewayMessage::BrokeOff { request, replica } => {
                 self.control.broke_off(now, &request, &replica);
             }
-            GatewayMessage::ServerEnded { replica } => {
+            GatewayMessage::ServerCrashed { replica } => {
                 self.control.server_ended(now, &replica);
             }
-            GatewayMessage::SuspectsHeard { suspects } => {
+            GatewayMessage::SuspectsReceived { suspects } => {
                 self.control.hear_suspects(now, &suspects);
             }
             GatewayMessage::Progress { request, generated } => {
@@ -213,7 +213,7 @@
             GatewayMessage::Leaves { replica, source } => {
                 self.leaves(&replica, source);
             }
-            GatewayMessage::Noticed { replica, heard } => self.noticed(&replica, &heard),
+            GatewayMessage::NoticeReceived { replica, heard } => self.noticed(&replica, &heard),
             GatewayMessage::MaySend {
                 replica,
                 request,
@@ -282,7 +282,7 @@
             GatewayMessage::Terms { terms } => self.control.set_terms(*terms),
             GatewayMessage::ListLost { is_lost } => self.list_lost(is_lost),
             GatewayMessage::OutageEnded => self.control.outage_ended(now),
-            GatewayMessage::PeerHeard { told } => self.control.hear_peer(now, told),
+            GatewayMessage::PeerMessageReceived { told } => self.control.hear_peer(now, told),
             GatewayMessage::OwnState { audience, reply } => {
                 let _ = reply.send(self.own_state(audience));
             }
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -136,7 +136,7 @@
             self.take_news(news.aged(delay), &heartbeat.instance, is_relay);
         }
         if !heartbeat.suspects.is_empty() {
-            self.control.tell(GatewayMessage::SuspectsHeard {
+            self.control.tell(GatewayMessage::SuspectsReceived {
                 suspects: heartbeat.suspects,
             });
         }
@@ -159,7 +159,7 @@
             }
         }
         if follows || heartbeat.digest.is_some() {
-            self.control.tell(GatewayMessage::PeerHeard {
+            self.control.tell(GatewayMessage::PeerMessageReceived {
                 told: ToldLoads {
                     instance: heartbeat.instance,
                     incarnation: heartbeat.incarnation,
--- a/crates/daemon/src/peers/peer_answers.rs
+++ b/crates/daemon/src/peers/peer_answers.rs
@@ -91,7 +91,7 @@
 /// Tells the decisions what a peer has sent.
 pub fn tell_news(app: &App, source: &str, news: News) {
     if let Some(instances) = news.instances {
-        app.control.tell(Event::RosterOffered {
+        app.control.tell(Event::InstanceListOffered {
             version: instances.version,
             entries: instances.entries,
         });
@@ -109,14 +109,14 @@
 
 /// Tells the decisions what a peer has.
 pub fn tell_versions(app: &App, instance: InstanceId, versions: &PeerVersions) {
-    app.control.tell(Event::PeerHeard {
+    app.control.tell(Event::PeerMessageReceived {
         instance,
         incarnation: versions.incarnation.clone(),
         config_version: versions.config_version,
         time: versions.time,
     });
     if !versions.suspects.0.is_empty() {
-        app.control.tell(Event::SuspectsHeard {
+        app.control.tell(Event::SuspectsReceived {
             suspects: versions.suspects.0.clone(),
         });
     }
--- a/crates/daemon/src/platform/platform_reader.rs
+++ b/crates/daemon/src/platform/platform_reader.rs
@@ -93,7 +93,7 @@
                     pause = FIRST_PAUSE;
                     if let Some(list) = answer {
                         seen = list.version;
-                        self.control.tell(Event::RosterOffered {
+                        self.control.tell(Event::InstanceListOffered {
                             version: list.version,
                             entries: list.entries,
                         });
