--- a/crates/core/src/completion.rs
+++ b/crates/core/src/completion.rs
@@ -1,4 +1,4 @@
-//! Decisions of the completion interface: sessions, calls with tickets, and where they run.
+//! Decision logic of the completion interface: sessions, calls with tickets, and their placement.
 
 pub(crate) mod backend_registry;
 pub(crate) mod backend_view;
--- a/crates/core/src/completion/backend_registry.rs
+++ b/crates/core/src/completion/backend_registry.rs
@@ -1,4 +1,4 @@
-//! All backend servers of the configuration, with an index by model.
+//! Registry of the configured backend servers, indexed by model.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -16,11 +16,11 @@
 use crate::ZoneId;
 use crate::rendezvous_rank;
 
-/// Engines per model that one instance looks at: enough for two good choices,
-/// and a cost per decision that does not grow with the fleet.
+/// Engines per model that one instance considers. This leaves enough for two good choices and
+/// keeps the cost of a decision independent of the size of the fleet.
 const ENGINES_PER_MODEL: usize = 16;
 
-/// Views by name, and per model the subset that this instance uses.
+/// Backend views by name and, for each model, the subset of engines that this instance uses.
 #[derive(Debug)]
 pub struct BackendRegistry {
     instance: InstanceId,
@@ -31,7 +31,7 @@
 }
 
 impl BackendRegistry {
-    /// An empty book of one instance.
+    /// Creates an empty registry for an instance in `zone`.
     pub fn new(instance: InstanceId, zone: ZoneId) -> Self {
         BackendRegistry {
             instance,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes over a configuration; beliefs about servers that stay are kept.
+    /// Applies a configuration. The state of a server is kept if its name and address stay the same.
     pub fn adopt(&mut self, document: &Document) {
         let mut old = std::mem::take(&mut self.views);
         for server in &document.backend_servers {
@@ -61,8 +61,9 @@
         }
     }
 
-    /// Own zone first, then the others, each by rendezvous rank for this
-    /// instance, so that subsets of different instances overlap evenly.
+    /// Selects the engines of a model: those of the local zone first, then the others. Each group
+    /// is ordered by rendezvous rank for this instance, so that the subsets of different
+    /// instances overlap evenly.
     fn subset_of(&self, model: &str, document: &Document) -> Vec<BackendId> {
         let topic = format!("{}/{model}", self.instance);
         let serves = |server: &&BackendServer| {
@@ -84,13 +85,13 @@
         subset
     }
 
-    /// Engines of the subset for a model.
+    /// Returns the engines that this instance uses for a model.
     pub(crate) fn subset(&self, model: &str) -> impl Iterator<Item = &BackendView> {
         let names = self.by_model.get(model).map_or(&[][..], Vec::as_slice);
         names.iter().filter_map(|name| self.views.get(name))
     }
 
-    /// Names and addresses of the engines whose reports this instance needs.
+    /// Returns the names and addresses of the engines whose load reports this instance needs.
     pub fn watched(&self) -> Vec<(BackendId, SocketAddr)> {
         let mut names: Vec<&BackendId> = self.by_model.values().flatten().collect();
         names.sort();
@@ -102,12 +103,12 @@
         names.into_iter().filter_map(with_address).collect()
     }
 
-    /// One view.
+    /// Returns the view of the named backend server, if it is configured.
     pub fn view(&self, name: &str) -> Option<&BackendView> {
         self.views.get(name)
     }
 
-    /// All views by name.
+    /// Iterates over all views in the order of their names.
     pub fn views(&self) -> impl Iterator<Item = (&BackendId, &BackendView)> {
         self.views.iter()
     }
@@ -116,7 +117,7 @@
         self.views.get_mut(name)
     }
 
-    /// Notes a report; returns whether it is the first of another life.
+    /// Applies a load report. Returns whether it is the first one of a new incarnation.
     pub fn report(
         &mut self,
         now: Now,
@@ -128,8 +129,8 @@
         view.is_some_and(|view| view.take_report(now, report, estimator))
     }
 
-    /// Runners of a plain service that may get new work: own zone first, the
-    /// least used first.
+    /// Returns the runners of a plain service that accept new work. Runners on probation come last;
+    /// then the local zone comes first, and within a zone the runner with the fewest sessions.
     pub fn runners(&self, now: Now, service: &str) -> Vec<&BackendServer> {
         let runs = |view: &&BackendView| {
             view.server.service.as_deref() == Some(service) && view.ruled_out(now).is_none()
@@ -144,22 +145,22 @@
 }
 
 impl BackendView {
-    /// The last report, if any.
+    /// Returns the last load report, if any.
     pub fn last_report(&self) -> Option<&LoadReport> {
         self.report.as_ref()
     }
 
-    /// The backend server as configured.
+    /// Returns the backend server as configured.
     pub fn server(&self) -> &BackendServer {
         &self.server
     }
 
-    /// Requests of this instance there.
+    /// Returns the number of requests that this instance runs on the server.
     pub fn own_requests(&self) -> u32 {
         self.own_sessions()
     }
 
-    /// What rules it out now, if anything.
+    /// Returns why the server can't take new work now, or `None` if it can.
     pub fn why_ruled_out(&self, now: Now) -> Option<&'static str> {
         self.ruled_out(now)
     }
--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -1,4 +1,4 @@
-//! What one instance believes about one backend server.
+//! State of one backend server as seen by one instance.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::ServerNotice;
 use crate::ServerRest;
 
-/// Lag that reports are taken to have when they arrive.
+/// Assumed age of a load report when it arrives.
 const REPORT_LAG: Duration = Duration::from_millis(300);
 
-/// Stands for the class of sessions about which only their number is known.
+/// Class of sessions of which only the number is known.
 const ANY_CLASS: &str = "";
 
-/// Belief about one backend server, corrected by what was sent to it since its
-/// last report.
+/// Estimated state of one backend server: its last load report, corrected by the requests that
+/// this instance has sent to it since.
 #[derive(Clone, Debug)]
 pub struct BackendView {
     pub(crate) server: BackendServer,
@@ -34,14 +34,14 @@
     started_since: MemoryDemand,
     sessions: HashMap<RequestId, OwnSession>,
     failure_backoff: FailurePause,
-    /// The rest that it asked for, until it has taken work again.
+    /// Backoff that the server asked for, until it accepts work again.
     backoff: Option<ServerRest>,
-    /// Whether one of its answers said that it leaves.
+    /// Whether a server notice said that the server is draining.
     notice_draining: bool,
 }
 
 impl BackendView {
-    /// A backend server about which nothing is known yet.
+    /// Creates the view of a backend server that has not reported yet.
     pub fn new(server: BackendServer) -> Self {
         BackendView {
             server,
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Takes a newer report; a repeated sequence number refreshes nothing. Returns whether
-    /// it is the first of another life.
+    /// Applies a load report; a report with a repeated sequence number is ignored. Returns
+    /// whether it is the first one of a new incarnation.
     pub(crate) fn take_report(
         &mut self,
         now: Now,
@@ -77,7 +77,8 @@
             .as_ref()
             .is_some_and(|last| report.sequence < last.sequence);
         if is_new_incarnation {
-            // It counts its reports from its start: what the life before said is void.
+            // A server counts its reports from its start, so a lower number means a new
+            // incarnation. Notices of the previous one no longer apply.
             self.backoff = None;
             self.notice_draining = false;
         }
@@ -90,7 +91,8 @@
         is_new_incarnation
     }
 
-    /// Sums up anew: the estimator has learnt, and rounding errors add up.
+    /// Recomputes the demand of all sessions, because the estimates change as the estimator learns
+    /// and the running sum accumulates rounding errors.
     fn refresh(&mut self, estimator: &LengthEstimator) {
         self.own = MemoryDemand::default();
         for session in self.sessions.values_mut() {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Counts a session of this instance.
+    /// Adds a session of this instance.
     pub(crate) fn start(
         &mut self,
         now: Now,
@@ -117,7 +119,7 @@
         self.sessions.insert(request, session);
     }
 
-    /// Notes how far a session is.
+    /// Records the number of tokens that a session has generated.
     pub(crate) fn progress(
         &mut self,
         request: &RequestId,
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Counts a session no longer.
+    /// Removes a session.
     pub(crate) fn end(&mut self, request: &RequestId) {
         if let Some(backoff) = &mut self.backoff {
             backoff.gone(request);
@@ -143,18 +145,17 @@
         }
     }
 
-    /// Notes a failure of a request or report; pauses the backend server with
-    /// exponential backoff.
+    /// Records a failed request or report and starts or extends the exponential backoff.
     pub(crate) fn fail(&mut self, now: Now) {
         self.failure_backoff.fail(now);
     }
 
-    /// Notes success: the backend server counts as well again.
+    /// Records a success, which ends the backoff after failures.
     pub(crate) fn succeed(&mut self) {
         self.failure_backoff.succeed();
     }
 
-    /// Notes what one of its answers said of it.
+    /// Applies a server notice from one of the server's answers.
     pub(crate) fn observe_notice(&mut self, now: Now, notice: &ServerNotice) {
         self.notice_draining |= notice.is_leaving;
         if let Some(time) = notice.rest() {
@@ -163,13 +164,14 @@
         }
     }
 
-    /// Notes that it answered a call: it takes work, unless it asked for rest since.
+    /// Records an answered call: the server accepts work, unless it has asked for a backoff since.
     pub(crate) fn answered(&mut self, now: Now) {
         self.failure_backoff.succeed();
         self.backoff.take_if(|backoff| backoff.is_over(now));
     }
 
-    /// Whether a call may be sent now; the first one after a rest tries it.
+    /// Returns whether a call may be sent now, and if so counts it as sent. The first call after a
+    /// backoff is the trial request.
     pub(crate) fn may_call(&mut self, now: Now, request: &RequestId) -> bool {
         if self.is_draining() || !self.backoff_allows_send(now) {
             return false;
@@ -180,13 +182,13 @@
         true
     }
 
-    /// Whether it leaves, by whatever word.
+    /// Whether the server is draining according to the configuration, its load report or a notice.
     pub(crate) fn is_draining(&self) -> bool {
         let reported = self.report.as_ref().is_some_and(|report| report.leaving);
         self.server.leaving || reported || self.notice_draining
     }
 
-    /// How much longer it rests, if it does.
+    /// Remaining time of the backoff that the server asked for, if any.
     pub(crate) fn backoff_left(&self, now: Now) -> Option<Duration> {
         let left = self.backoff.as_ref().map(|backoff| backoff.left(now));
         left.filter(|left| !left.is_zero())
@@ -198,7 +200,7 @@
             .is_none_or(|backoff| backoff.may_send(now))
     }
 
-    /// Why no new work may go there now, if so.
+    /// Returns why the server can't take new work now, or `None` if it can.
     pub(crate) fn ruled_out(&self, now: Now) -> Option<&'static str> {
         if self.server.leaving {
             return Some("leaving by configuration");
@@ -215,18 +217,20 @@
         None
     }
 
-    /// Whether it is on probation: the pause is over, and one request may try.
+    /// Whether the server is on probation: the backoff after failures is over, and one trial
+    /// request is allowed.
     pub(crate) fn on_probation(&self) -> bool {
         self.failure_backoff.on_probation()
     }
 
-    /// Sessions of this instance there.
+    /// Number of sessions that this instance runs on the server.
     pub(crate) fn own_sessions(&self) -> u32 {
         u32::try_from(self.sessions.len()).unwrap_or(u32::MAX)
     }
 
-    /// Sessions of all instances there, as far as known: the report, corrected
-    /// by own starts and ends since. Others are taken to do as this instance.
+    /// Estimated number of sessions of all instances on the server: the reported number, corrected
+    /// by the sessions that this instance has started and ended since. Without a report, the
+    /// other instances are assumed to run as many sessions as this one.
     pub(crate) fn sessions_of_all(&self, sharers: u32) -> f64 {
         let Some(report) = &self.report else {
             return f64::from(self.own_sessions() * sharers);
@@ -236,19 +240,19 @@
         others + f64::from(self.own_sessions())
     }
 
-    /// Time of one decoding step as reported, milliseconds.
+    /// Reported duration of one decoding step in milliseconds; 0 without a report.
     pub(crate) fn step_ms(&self) -> f64 {
         self.report.as_ref().map_or(0.0, |report| report.step_ms)
     }
 
-    /// Sessions waiting inside the engine as reported.
+    /// Reported number of sessions that wait inside the engine; 0 without a report.
     pub(crate) fn waiting(&self) -> u32 {
         self.report.as_ref().map_or(0, |report| report.waiting)
     }
 
-    /// Predicts memory at the horizon at which it is scarcest, with `need`
-    /// added. `margin` counts standard deviations. The cost does not depend on
-    /// the number of sessions: their sums are kept up to date.
+    /// Predicts the memory use with `need` added, at the horizon at which memory is scarcest.
+    /// `margin` is a number of standard deviations. The cost does not depend on the number of
+    /// sessions, because their sums are maintained incrementally.
     pub(crate) fn forecast(
         &self,
         context: &RoutingContext<'_>,
@@ -260,15 +264,16 @@
         };
         let mut sum = self.own.clone();
         sum.add(&need.demand(context.estimator), 1.0);
-        // The others do as this instance: what it started since the report,
-        // each of them started as well.
+        // The other instances are assumed to have started as many sessions since the report as
+        // this one.
         let others = f64::from(context.sharers.saturating_sub(1));
         sum.add(&self.started_since, others);
         sum.add(&self.others(context.now, context.estimator, report), 1.0);
         sum.forecast(report.memory_tokens, margin)
     }
 
-    /// Sessions of other instances, as the report shows them, grown since.
+    /// Demand of the sessions of other instances: the reported sessions, with the tokens that they
+    /// have generated since.
     fn others(&self, now: Now, estimator: &LengthEstimator, report: &LoadReport) -> MemoryDemand {
         let reported = f64::from(report.running + report.waiting);
         let count = reported - f64::from(self.own_at_report.0);
@@ -281,7 +286,7 @@
         MemoryDemand::of(estimator, ANY_CLASS, size, generated).times(count)
     }
 
-    /// Tokens that a session has grown by since the state that the report shows.
+    /// Estimated number of tokens that a session has generated since the report was taken.
     fn steps_since_report(&self, now: Now, report: &LoadReport) -> f64 {
         let age = now.saturating_sub(self.reported_at) + REPORT_LAG;
         if report.step_ms <= 0.0 {
--- a/crates/core/src/completion/call_run.rs
+++ b/crates/core/src/completion/call_run.rs
@@ -1,5 +1,4 @@
-//! One run of a call to a plain service: which runner next, and what may be
-//! said of it at the end.
+//! One run of a call to a plain service: the next runner to try, and the outcome to report.
 
 use std::collections::VecDeque;
 
@@ -7,26 +6,26 @@
 use crate::Now;
 use crate::Outcome;
 
-/// Runners tried for a call that may be repeated.
+/// Maximum number of tries of a call that may be repeated.
 const MAX_TRIES: u32 = 3;
 
-/// What became of one try.
+/// Result of one try.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SendResult {
     /// No connection: no byte was written.
     NotConnected,
-    /// The connection broke or fell silent after bytes may have been written.
+    /// The connection was lost or stalled after bytes may have been written.
     Lost,
-    /// The runner said that it did not run the call.
+    /// The runner answered that it did not run the call.
     SaidNotRun,
-    /// The runner failed with no word about whether it ran the call.
+    /// The runner failed without stating whether it ran the call.
     Failed,
-    /// The runner's own answer.
+    /// The runner answered the call.
     Answered,
 }
 
 impl SendResult {
-    /// The form used in metrics and logs.
+    /// Returns the form used in metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             SendResult::NotConnected => "not_connected",
@@ -38,36 +37,35 @@
     }
 }
 
-/// Why a run ended without an answer.
+/// Why a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CallEnd {
-    /// The last try has an answer to pass on.
+    /// The last try returned an answer that is forwarded to the caller.
     Answer,
     /// No runner could be connected to.
     NoRunner,
-    /// The deadline passed before the bytes left.
+    /// The deadline passed before the request was sent.
     Deadline,
     /// The last try got no answer.
     Lost,
 }
 
-/// What to do next.
+/// Next step of a run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallStep {
-    /// Send to this runner, now.
+    /// Send the call to this runner immediately.
     Send(BackendId),
-    /// Tell the caller.
+    /// End the run and report the outcome to the caller.
     End {
-        /// Whether the call ran.
+        /// Whether the call was executed.
         outcome: Outcome,
         /// Why it ended.
         end: CallEnd,
     },
 }
 
-/// Decides about tries. A call that may not be repeated is tried again only
-/// after a try of which no byte was written; one that may be is also tried
-/// again after any other failure.
+/// Retry decisions of one call. A call that may not be repeated is retried only if no byte of the
+/// previous try was written. A repeatable call is also retried after any other failure.
 #[derive(Clone, Debug)]
 pub struct CallRun {
     repeatable: bool,
@@ -79,8 +77,7 @@
 }
 
 impl CallRun {
-    /// A run over `runners`, the best first. The bytes must leave before
-    /// `deadline`.
+    /// Creates a run over `runners`, best first. The request must be sent before `deadline`.
     pub fn new(repeatable: bool, runners: Vec<BackendId>, deadline: Now) -> Self {
         CallRun {
             repeatable,
@@ -92,13 +89,13 @@
         }
     }
 
-    /// The same with another number of tries.
+    /// Sets the maximum number of tries.
     pub fn with_tries(mut self, tries: u32) -> Self {
         self.tries_left = tries;
         self
     }
 
-    /// Notes what became of the try under way.
+    /// Records the result of the current try.
     pub fn sent(&mut self, result: SendResult) {
         let may_have_executed = matches!(result, SendResult::Lost | SendResult::Failed);
         self.may_have_run |= may_have_executed;
@@ -106,8 +103,8 @@
         self.tries_left = self.tries_left.saturating_sub(1);
     }
 
-    /// The next step. Ask just before the bytes leave: a process that was
-    /// paused must not send late.
+    /// Returns the next step. Must be called immediately before the request is sent, so that a
+    /// process that was suspended does not send after the deadline.
     pub fn next(&mut self, now: Now) -> CallStep {
         if let Some(result) = self.last
             && !self.may_try_again(result)
@@ -126,7 +123,7 @@
         }
     }
 
-    /// Ends the run where it stands, when no further try may be paid for.
+    /// Ends the run with the last result, when the retry budget allows no further try.
     pub fn give_up(&self) -> CallStep {
         match self.last {
             Some(result) => self.end_after(result),
@@ -156,7 +153,7 @@
         }
     }
 
-    /// Not run is said only when no try can have run it.
+    /// Reports `not_run` only if no try can have executed the call.
     fn end(&self, end: CallEnd) -> CallStep {
         let outcome = match self.may_have_run {
             true => Outcome::Unknown,
--- a/crates/core/src/completion/command.rs
+++ b/crates/core/src/completion/command.rs
@@ -1,4 +1,4 @@
-//! What the decisions want done.
+//! Commands that the control state issues to its driver.
 
 use std::net::SocketAddr;
 
@@ -9,49 +9,49 @@
 use crate::Refusal;
 use crate::RequestId;
 
-/// An engine for an attempt.
+/// Engine chosen for an attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Placement {
     /// The engine.
     pub engine: BackendId,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
     /// Attempt to start there.
     pub attempt: Attempt,
 }
 
-/// A command that the driver carries out.
+/// A command for the driver to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt.
     Start {
         /// The request.
         request: RequestId,
-        /// Where.
+        /// The chosen engine.
         placement: Placement,
     },
-    /// Tell the caller now that its request was not run.
+    /// Answer the caller immediately that its request was not run.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why, and when to come back.
+        /// Reason, and the time after which to retry.
         refusal: Refusal,
     },
-    /// A configuration came into force: show it to the traffic threads.
+    /// A configuration came into force: publish it to the traffic threads.
     ConfigInForce {
         /// Its version.
         version: ConfigVersion,
     },
-    /// Exchange versions with a peer; whoever is behind gets what is newer.
+    /// Exchange versions with a peer; the side with the older version receives the newer one.
     ExchangeWith {
         /// The peer.
         instance: InstanceId,
-        /// Where it listens.
+        /// Address on which the peer listens.
         address: SocketAddr,
     },
-    /// Read and watch the platform, or stop doing so.
+    /// Start or stop reading and watching the platform.
     ReadPlatform {
-        /// Whether to read.
+        /// Whether this instance reads the platform.
         reads: bool,
     },
 }
--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -1,4 +1,4 @@
-//! The state of all decisions of one instance, driven by events.
+//! Control state of one instance, driven by events.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -47,41 +47,41 @@
 mod quarantine;
 mod queueing;
 
-/// Settings of the decisions.
+/// Settings of the control state.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Life of this process.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// Availability zone of this instance.
     pub zone: ZoneId,
-    /// How engines are chosen.
+    /// Policy by which engines are chosen.
     pub policy: RoutingPolicy,
-    /// Requests of one workspace that may wait.
+    /// Maximum number of queued requests per workspace and model.
     pub max_queued: usize,
-    /// Records of the time line.
+    /// Maximum number of records in the timeline.
     pub timeline_records: usize,
-    /// How long a ticket may be spent.
+    /// Time for which a ticket is valid.
     pub ticket_lifetime: Duration,
-    /// Spent tickets remembered at once.
+    /// Maximum number of spent tickets that are recorded at the same time.
     pub max_tickets: usize,
-    /// Seed of every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// A request that runs on an engine.
+/// A request that is running on an engine.
 #[derive(Clone, Debug)]
 struct Running {
     engine: BackendId,
     class: String,
     fingerprint: Fingerprint,
-    /// When it made progress there first.
-    begun_at: Option<Now>,
+    /// Time of its first progress on the engine.
+    first_progress_at: Option<Now>,
 }
 
-/// All decisions of one instance. Every method is a function of state, its
-/// arguments and the seed given at the start.
+/// Control state of one instance. Every method depends only on the state, its arguments and the
+/// initial seed.
 #[derive(Debug)]
 pub struct Control {
     settings: ControlSettings,
@@ -98,7 +98,7 @@
     running: HashMap<RequestId, Running>,
     warm: HashMap<u64, BackendId>,
     admission: Admission,
-    open: HashSet<RequestId>,
+    open_ids: HashSet<RequestId>,
     budget: RetryBudget,
     tickets: TicketStore,
     clock: HybridClock,
@@ -107,13 +107,13 @@
     random: Pcg32,
     suspicions: Suspicions,
     known_good: ProvenContents,
-    /// Open requests that have run well for a while.
+    /// Open requests that have run long enough to count as known-good.
     known_good_requests: HashSet<RequestId>,
     limits: ServerLimits,
 }
 
 impl Control {
-    /// The state at the start of a process.
+    /// Creates the state at the start of a process.
     pub fn new(settings: ControlSettings) -> Self {
         let instance = settings.instance.clone();
         let zone = settings.zone.clone();
@@ -131,7 +131,7 @@
             running: HashMap::new(),
             warm: HashMap::new(),
             admission: Admission::default(),
-            open: HashSet::new(),
+            open_ids: HashSet::new(),
             budget: RetryBudget::default(),
             tickets: TicketStore::new(
                 instance.clone(),
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Decides about one event. `wall_ms` (milliseconds since 1970) only
-    /// labels the time line.
+    /// Handles one event and returns the resulting commands. `wall_ms` (milliseconds since 1970)
+    /// is used for hybrid timestamps and to group crashes of one server, not for deadlines.
     pub fn handle(&mut self, now: Now, wall_ms: u64, event: Event) -> Vec<Command> {
         self.wall_ms = wall_ms;
         let mut commands = Vec::new();
@@ -175,7 +175,7 @@
                 fingerprint,
                 ran_for,
             } => self.server_crashed(now, &backend, fingerprint, ran_for, &mut commands),
-            Event::CallAnswered { fingerprint } => self.ran_well(now, fingerprint),
+            Event::CallAnswered { fingerprint } => self.record_success(now, fingerprint),
             Event::SuspectsReceived { suspects } => self.receive_suspects(now, &suspects),
             Event::Closed { request, workspace } => self.closed(&request, &workspace),
             Event::Report { backend, report } => {
@@ -231,7 +231,7 @@
         self.tickets.spend(now, ticket)
     }
 
-    /// Runners of a plain service, the best first.
+    /// Returns the runners of a plain service, best first.
     pub fn runners(&self, now: Now, service: &str) -> Vec<BackendServer> {
         self.backends
             .runners(now, service)
@@ -240,12 +240,12 @@
             .collect()
     }
 
-    /// Notes a call to a plain service against the limits of its workspace,
-    /// until [`Event::Closed`].
+    /// Counts a call to a plain service against the limits of its workspace until
+    /// [`Event::Closed`].
     ///
     /// # Errors
     ///
-    /// A refusal that names the limit.
+    /// Returns a refusal if a limit is reached or the request is quarantined.
     pub fn open_call(
         &mut self,
         now: Now,
@@ -256,51 +256,51 @@
         let workspace = self.workspace(workspace)?;
         self.check_quarantine(now, &request, fingerprint)?;
         self.admission.open(now, &workspace)?;
-        self.open.insert(request);
+        self.open_ids.insert(request);
         Ok(())
     }
 
-    /// Records of the time line after a time, of one request or all.
+    /// Returns the timeline records after a time, of one request or of all.
     pub fn timeline(&self, after: HybridTime, request: Option<&str>) -> Vec<TimelineRecord> {
         self.timeline.since(after, request)
     }
 
-    /// The hybrid time of a message to send.
+    /// Returns the hybrid timestamp for an outgoing message.
     pub fn stamp(&mut self, wall_ms: u64) -> HybridTime {
         self.clock.tick(wall_ms)
     }
 
-    /// The configuration order.
+    /// Returns the configuration versions and the one in force.
     pub fn config(&self) -> &ConfigOrder {
         &self.config
     }
 
-    /// The instance list.
+    /// Returns the instance list.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// The backend servers.
+    /// Returns the registry of backend servers.
     pub fn backends(&self) -> &BackendRegistry {
         &self.backends
     }
 
-    /// Requests that wait, of all models.
+    /// Returns the number of queued requests of all models.
     pub fn queued(&self) -> usize {
         self.queues.values().map(FairQueue::len).sum()
     }
 
-    /// Requests that run on engines.
+    /// Returns the number of requests running on engines.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests of a workspace that are open.
+    /// Returns the number of open requests of a workspace.
     pub fn open_requests(&self, workspace: &str) -> u32 {
         self.admission.open_requests(workspace)
     }
 
-    /// The estimator of remaining lengths.
+    /// Returns the estimator of remaining lengths.
     pub fn estimator(&self) -> &LengthEstimator {
         &self.estimator
     }
--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -1,5 +1,6 @@
-//! The limits that backend servers name, on the completion interface. Instances tell each
-//! other no loads there: the others are taken to wish for as much as this one does.
+//! Rate limits that backend servers declare, on the completion interface. Instances don't
+//! advertise their loads to each other there, so each other instance is assumed to have the same
+//! demand as this one.
 
 use std::time::Duration;
 
@@ -15,18 +16,18 @@
 use crate::ServerLife;
 use crate::membership::rendezvous::weight;
 
-/// Time over which wishes are counted per instance: where many share the requests, each sees
-/// few.
+/// Window over which demand is counted, per instance of the fleet. With more instances, each one
+/// sees fewer requests and needs a longer window.
 const DEMAND_WINDOW_PER_INSTANCE: Duration = Duration::from_millis(250);
 
-/// Shortest such time.
+/// Minimum of the window.
 const MIN_DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
-/// Longest such time: shares follow a burst this late.
+/// Maximum of the window: the shares follow a burst with up to this delay.
 const MAX_DEMAND_WINDOW: Duration = Duration::from_secs(10);
 
 impl Control {
-    /// Notes what an answer says of its server's limit.
+    /// Applies what an answer states about the limit of its server.
     pub(super) fn observe_limit_notice(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
         let limit = heard.notice.limit;
         if limit == NamedLimit::NotTold && !heard.tells_limits {
@@ -45,9 +46,9 @@
             .heard(now, &server, limit, heard.sent_at, earned);
     }
 
-    /// Whether something may be sent to a backend server now as far as its limit goes; what
-    /// may be sent counts as sent.
-    pub(super) fn wish(&mut self, now: Now, backend: &str) -> bool {
+    /// Counts the demand for one request and returns whether the limit of the backend server
+    /// allows to send it now. An allowed request counts as sent.
+    pub(super) fn try_acquire(&mut self, now: Now, backend: &str) -> bool {
         let Some(server) = self.server_incarnation(backend) else {
             return true;
         };
@@ -58,14 +59,16 @@
         self.limits.wish(now, server.life, others)
     }
 
-    /// Time until this instance may send something to a limited server; `None` if it may now.
-    pub(super) fn turn_in(&self, now: Now, backend: &str) -> Option<Duration> {
+    /// Returns the time until this instance may send to a limited server; `None` if it may send
+    /// now.
+    pub(super) fn time_until_allowed(&self, now: Now, backend: &str) -> Option<Duration> {
         let server = self.server_incarnation(backend)?;
         let others = self.demand_of_others(now, &server);
         self.limits.turn_in(now, server.life, others)
     }
 
-    /// A report that counts from the start again is of another life, which named no limit.
+    /// Applies a load report. A report whose sequence starts again belongs to a new incarnation,
+    /// which has not declared a limit yet.
     pub(super) fn reported(&mut self, now: Now, backend: &str, report: LoadReport) {
         let is_new_incarnation = self.backends.report(now, backend, report, &self.estimator);
         if let Some(server) = self
@@ -76,7 +79,8 @@
         }
     }
 
-    /// One wish more than was counted, since rare ones are forgotten between two.
+    /// Estimates the demand of the other instances. One request is added to the own demand that was
+    /// counted, because rare requests fall out of the window before the next one.
     fn demand_of_others(&self, now: Now, server: &ServerLife) -> RequestRate {
         let one = RequestRate::of_per_s(1.0 / self.demand_window().as_secs_f64());
         let own = self.limits.wanted(now, server.life).plus(one);
@@ -92,7 +96,7 @@
         u32::try_from(self.roster.entries().count()).unwrap_or(u32::MAX)
     }
 
-    /// A server that has another address is another one.
+    /// Identifies a server by its name and address: a server at another address is a different one.
     fn server_incarnation(&self, backend: &str) -> Option<ServerLife> {
         let view = self.backends.view(backend)?;
         let address = view.server().address.to_string();
--- a/crates/core/src/completion/control/membership.rs
+++ b/crates/core/src/completion/control/membership.rs
@@ -1,4 +1,4 @@
-//! How a configuration spreads, and who reads the platform.
+//! Propagation of configurations, and the choice of the instances that read the platform.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,16 +17,16 @@
 use crate::OfferVerdict;
 use crate::TimelineEvent;
 
-/// Peers told at once about a new configuration.
+/// Number of peers of the local zone with which a new configuration is exchanged immediately.
 const CONFIG_FANOUT: usize = 3;
 
-/// Time between exchanges with a random peer of the own zone.
+/// Interval between exchanges with a random peer of the local zone.
 const ZONE_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between exchanges with a random peer of any zone.
+/// Interval between exchanges with a random peer of any zone.
 const ANY_ZONE_EXCHANGE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Faults of a refused document that the time line names.
+/// Number of faults of a refused document that the timeline lists.
 const MAX_REPORTED_FAULTS: usize = 3;
 
 impl Control {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Drops what was learnt of workspaces that are gone.
+    /// Drops the state of workspaces that are no longer configured.
     fn forget_removed_workspaces(&mut self, document: &Document) {
         let workspace_of = |class: &str| class.split('/').next().map(str::to_owned);
         let names = document.workspaces.iter().map(|workspace| &workspace.name);
@@ -93,8 +93,8 @@
     pub(super) fn tick_membership(&mut self, now: Now, commands: &mut Vec<Command>) {
         let confirmed_at = self.config.confirmed_at().unwrap_or(Now::ZERO);
         let age = now.saturating_sub(confirmed_at);
-        let has_nothing = self.config.version() == 0;
-        let reads = has_nothing || self.reader_rotation.reads(&self.roster, age);
+        let has_no_config = self.config.version() == 0;
+        let reads = has_no_config || self.reader_rotation.reads(&self.roster, age);
         if reads != self.reads_platform {
             self.reads_platform = reads;
             commands.push(Command::ReadPlatform { reads });
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Draws `count` different peers of `zone`, or of any.
+    /// Exchanges with up to `count` different random peers of `zone`, or of any zone.
     fn exchange_with_random(
         &mut self,
         zone: Option<&str>,
@@ -131,10 +131,10 @@
         commands: &mut Vec<Command>,
     ) {
         let own = self.settings.instance.clone();
-        let wanted = |entry: &&InstanceEntry| {
+        let is_peer = |entry: &&InstanceEntry| {
             entry.instance != own && zone.is_none_or(|zone| entry.availability_zone == zone)
         };
-        let peers = self.roster.entries().filter(wanted);
+        let peers = self.roster.entries().filter(is_peer);
         let mut peers: Vec<String> = peers.map(|entry| entry.instance.clone()).collect();
         for _ in 0..count.min(peers.len()) {
             let draw = self.random.next_u32() as usize % peers.len();
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Between 0.75 and 1.25 of the interval, so that instances drift apart.
+    /// Returns a random time between 0.75 and 1.25 of the interval, so that instances don't stay
+    /// synchronized.
     fn jittered(&mut self, interval: Duration) -> Duration {
         let share = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         interval.mul_f64(0.75 + share / 2.0)
--- a/crates/core/src/completion/control/notices.rs
+++ b/crates/core/src/completion/control/notices.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves in their answers, on the completion interface.
+//! Server notices in the answers of backend servers, on the completion interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::RequestId;
 
 impl Control {
-    /// Notes what an answer said of its backend server.
+    /// Applies the server notice of an answer.
     pub(super) fn observe_notice(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
         if let Some(view) = self.backends.view_mut(backend) {
             view.observe_notice(now, &heard.notice);
@@ -21,28 +21,28 @@
         self.observe_limit_notice(now, backend, heard);
     }
 
-    /// Whether a call may be sent to a runner now: it may have said something since the
-    /// runners were ranked.
+    /// Returns whether a call may be sent to a runner now, and if so counts it as sent. This is
+    /// checked again because a notice may have arrived since the runners were ranked.
     pub fn may_call(&mut self, now: Now, backend: &str, request: &RequestId) -> bool {
         let view = self.backends.view_mut(backend);
-        view.is_some_and(|view| view.may_call(now, request)) && self.wish(now, backend)
+        view.is_some_and(|view| view.may_call(now, request)) && self.try_acquire(now, backend)
     }
 
-    /// Whether something may be sent to a backend server about what it runs: it has not
-    /// asked for rest, and takes more under the limit that it named.
+    /// Returns whether a message about running work may be sent to a backend server: the server is
+    /// not backing off, and its limit allows another request. An allowed one counts as sent.
     pub fn may_reach(&mut self, now: Now, backend: &str) -> bool {
-        !self.is_backing_off(now, backend) && self.wish(now, backend)
+        !self.is_backing_off(now, backend) && self.try_acquire(now, backend)
     }
 
-    /// Whether a backend server has asked for rest that is not over.
+    /// Returns whether a backend server has asked for a backoff that has not ended.
     fn is_backing_off(&self, now: Now, backend: &str) -> bool {
         let view = self.backends.view(backend);
         view.is_some_and(|view| view.backoff_left(now).is_some())
     }
 
-    /// The time until the first runner of a service has rested, or takes one more under its
-    /// limit; `None` unless all that could run a call rest or are limited.
-    pub fn runners_wait(&self, now: Now, service: &str) -> Option<Duration> {
+    /// Returns the time until the first runner of a service ends its backoff or has room under its
+    /// limit; `None` unless all runners that are not draining are backing off or limited.
+    pub fn time_until_runner(&self, now: Now, service: &str) -> Option<Duration> {
         let views = self.backends.views().map(|(_, view)| view);
         let runners = views.filter(|view| view.server().service.as_deref() == Some(service));
         let available = runners.filter(|view| !view.is_draining());
@@ -52,13 +52,14 @@
         waits?.into_iter().min()
     }
 
-    /// Time until a backend server takes something.
+    /// Returns the time until a backend server accepts a request; `None` if it does now.
     fn time_until_available(&self, now: Now, view: &BackendView) -> Option<Duration> {
         let backoff = view.backoff_left(now);
-        backoff.or_else(|| self.turn_in(now, &view.server().name))
+        backoff.or_else(|| self.time_until_allowed(now, &view.server().name))
     }
 
-    /// The time until the first engine of a model has rested; `None` unless all rest.
+    /// Returns the time until the first engine of a model ends its backoff; `None` unless all
+    /// engines that are not draining are backing off.
     fn engines_backoff(&self, now: Now, model: &str) -> Option<Duration> {
         let available = self
             .backends
@@ -68,7 +69,7 @@
         waits?.into_iter().min()
     }
 
-    /// Why no engine takes a request.
+    /// Returns the refusal of a request that no engine accepts.
     pub(super) fn no_engine_refusal(&self, now: Now, model: &str) -> Refusal {
         if let Some(left) = self.engines_backoff(now, model) {
             return Refusal::resting(model, left);
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Refuses what waits for a model whose engines all rest for longer than it can wait:
-    /// it is known already that it can't be served.
+    /// Refuses queued requests whose deadline passes before the first engine of their model ends
+    /// its backoff, because they can't be served in time.
     pub(super) fn refuse_blocked_by_backoff(&mut self, now: Now, commands: &mut Vec<Command>) {
         let models: Vec<String> = self.queues.keys().cloned().collect();
         for model in models {
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Engines whose reports this instance needs, but for those that want no question now.
+    /// Returns the engines to poll for load reports: those that this instance needs, without those
+    /// that are backing off or whose limit allows no request now.
     pub fn watched(&mut self, now: Now) -> Vec<(BackendId, SocketAddr)> {
         let mut watched = self.backends.watched();
         watched.retain(|(backend, _)| self.may_reach(now, backend));
--- a/crates/core/src/completion/control/placement.rs
+++ b/crates/core/src/completion/control/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests run, when they start, who waits and who is told no.
+//! Placement of requests: admission, choice of an engine, start and end of attempts.
 
 use std::time::Duration;
 
@@ -22,17 +22,18 @@
 use crate::WorkspaceId;
 use crate::completion::router::Choice;
 
-/// Advice when a queue is full or a deadline can't be met.
+/// Retry-After of refusals for a full queue, an exhausted retry budget or a missed deadline.
 pub(super) const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Most instances for which one own start is taken to stand: with more, the
-/// guess would be noise (docs/CAPACITY.md).
+/// Maximum number of instances that are assumed to behave like this one. With more instances the
+/// extrapolation from this one would be noise (docs/CAPACITY.md).
 const MAX_SHARERS: u32 = 8;
 
-/// Prefixes remembered; the oldest half goes when it is full.
+/// Maximum number of prefixes whose engine is recorded. Half of the entries are dropped when the
+/// map is full.
 const MAX_WARM_PREFIXES: usize = 8_192;
 
-/// Quantile of the length that a workspace is charged for at the start.
+/// Quantile of the estimated length that a workspace is charged for when a request starts.
 const CHARGED_QUANTILE: f64 = 0.5;
 
 impl Control {
@@ -66,22 +67,22 @@
             .is_some_and(|queue| !queue.is_empty());
         if !waits || submission.attempt > 1 {
             let choice = self.choose(now, &submission);
-            let nothing_there = choice.engine.is_none() && !choice.may_wait;
+            let no_engine = choice.engine.is_none() && !choice.may_wait;
             if choice.engine.is_some() {
                 self.charge(&workspace, &submission);
                 self.start(now, submission, choice, commands);
                 return Ok(());
             }
-            if nothing_there && !submission.delivering {
+            if no_engine && !submission.delivering {
                 return Err(self.no_engine_refusal(now, &submission.model));
             }
         }
         self.enqueue(now, &workspace, submission)
     }
 
-    /// A first attempt counts against the limits of the workspace; a further
-    /// one before the first token spends a retry; work that the caller holds a
-    /// part of is never refused here.
+    /// Admits an attempt. A first attempt counts against the limits of the workspace. A further
+    /// attempt before the first token spends from the retry budget. An attempt for a request whose
+    /// caller has received tokens already is never refused here.
     fn admit(
         &mut self,
         now: Now,
@@ -90,7 +91,7 @@
     ) -> Result<(), Refusal> {
         if submission.attempt <= 1 {
             self.admission.open(now, workspace)?;
-            self.open.insert(submission.request.clone());
+            self.open_ids.insert(submission.request.clone());
             self.budget.earn(&workspace.name);
             return Ok(());
         }
@@ -155,14 +156,14 @@
             };
             let choice = self.router.choose(&self.backends, &context);
             match &choice.engine {
-                Some(engine) if !self.wish(now, engine) => need.limited.push(engine.clone()),
+                Some(engine) if !self.try_acquire(now, engine) => need.limited.push(engine.clone()),
                 _ => return choice,
             }
         }
     }
 
-    /// Instances that send to the engines of this instance's subset, itself
-    /// included: those of the zone where the zone has engines enough, else all.
+    /// Number of instances that send to the engines of this instance's subset, including this one:
+    /// the live instances of the local zone if all these engines are in it, else all instances.
     fn sharers(&self, model: &str) -> u32 {
         let own_zone = self.settings.zone.as_str();
         let is_local = |view: &BackendView| view.server.availability_zone == own_zone;
@@ -197,7 +198,7 @@
             },
         );
         self.adopt(now, &submission, engine.clone());
-        self.remember_warm(submission.prefix, &engine);
+        self.record_warm_prefix(submission.prefix, &engine);
         commands.push(Command::Start {
             request,
             placement: Placement {
@@ -208,7 +209,7 @@
         });
     }
 
-    /// Counts an attempt as running on an engine.
+    /// Records an attempt as running on an engine.
     pub(super) fn adopt(&mut self, now: Now, submission: &Submission, engine: BackendId) {
         let class = class_of(&submission.workspace, &submission.model);
         let session = OwnSession {
@@ -224,7 +225,7 @@
             engine,
             class,
             fingerprint: submission.fingerprint,
-            begun_at: None,
+            first_progress_at: None,
         };
         self.running.insert(submission.request.clone(), running);
     }
@@ -252,7 +253,7 @@
             return;
         };
         self.estimator.finished(&running.class, generated);
-        self.ran_well(now, running.fingerprint);
+        self.record_success(now, running.fingerprint);
         self.drain_engine(now, &running.engine, commands);
     }
 
@@ -279,7 +280,7 @@
         for queue in self.queues.values_mut() {
             queue.remove(request);
         }
-        if self.open.remove(request) {
+        if self.open_ids.remove(request) {
             self.admission.close(workspace);
         }
     }
@@ -319,12 +320,12 @@
         f64::from(submission.prompt_tokens) + f64::from(further)
     }
 
-    fn remember_warm(&mut self, prefix: u64, engine: &BackendId) {
+    fn record_warm_prefix(&mut self, prefix: u64, engine: &BackendId) {
         if self.warm.len() >= MAX_WARM_PREFIXES {
-            let mut place = 0;
+            let mut index = 0;
             self.warm.retain(|_, _| {
-                place += 1;
-                place % 2 == 0
+                index += 1;
+                index % 2 == 0
             });
         }
         self.warm.insert(prefix, engine.clone());
--- a/crates/core/src/completion/control/quarantine.rs
+++ b/crates/core/src/completion/control/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that end the backend servers that run them, on the completion interface.
+//! Poison requests, which crash the backend servers that run them, on the completion interface.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
 use crate::Verdict;
 use crate::membership::rendezvous::weight;
 
-/// Backend servers have no name for each of their lives here: ends of one name that are
-/// seen within this time are one. Two instances see an end within milliseconds, and no
-/// server is back and ends again so soon.
+/// Backend servers have no id per incarnation on this interface, so crashes of the same server
+/// that are observed within this time count as one. Two instances observe a crash within
+/// milliseconds of each other, and no server restarts and crashes again within this time.
 const SAME_CRASH_WINDOW_MS: u64 = 1_000;
 
 impl Control {
-    /// Notes that a backend server ended under a request that had run there for a time
+    /// Records that a backend server crashed under a request that had run there for `ran_for`
     /// since its first token.
     pub(super) fn server_crashed(
         &mut self,
@@ -50,39 +50,40 @@
         weight(backend, &(self.wall_ms / SAME_CRASH_WINDOW_MS).to_string())
     }
 
-    /// Takes what a peer suspects.
+    /// Applies the suspects that a peer advertises.
     pub(super) fn receive_suspects(&mut self, now: Now, suspects: &[ToldSuspect]) {
-        for told in suspects {
-            let proven_at = self.known_good.proven_at(told.fingerprint);
-            self.suspicions.hear(now, proven_at, told);
+        for suspect in suspects {
+            let proven_at = self.known_good.proven_at(suspect.fingerprint);
+            self.suspicions.hear(now, proven_at, suspect);
         }
     }
 
-    /// Notes that a request ran well.
-    pub(super) fn ran_well(&mut self, now: Now, fingerprint: Fingerprint) {
+    /// Records that a request is known-good.
+    pub(super) fn record_success(&mut self, now: Now, fingerprint: Fingerprint) {
         self.known_good.note(now, fingerprint);
         self.suspicions.ran_well(now, fingerprint);
     }
 
-    /// Notes progress of a request; what goes on for a while runs well.
+    /// Records progress of a request, which becomes known-good once it has run for
+    /// [`RAN_WELL_AFTER`].
     pub(super) fn observe_progress(&mut self, now: Now, request: &RequestId) {
         let Some(running) = self.running.get_mut(request) else {
             return;
         };
-        let begun_at = *running.begun_at.get_or_insert(now);
+        let first_progress_at = *running.first_progress_at.get_or_insert(now);
         let fingerprint = running.fingerprint;
-        let is_news = !self.known_good_requests.contains(request);
-        if is_news && now.saturating_sub(begun_at) >= RAN_WELL_AFTER {
+        let is_new = !self.known_good_requests.contains(request);
+        if is_new && now.saturating_sub(first_progress_at) >= RAN_WELL_AFTER {
             self.known_good_requests.insert(request.clone());
-            self.ran_well(now, fingerprint);
+            self.record_success(now, fingerprint);
         }
     }
 
-    /// Refuses what is quarantined; a request that has itself run well goes on.
+    /// Refuses quarantined requests, except a request that is known-good itself.
     ///
     /// # Errors
     ///
-    /// The refusal; nothing was sent.
+    /// Returns the refusal of a quarantined request; nothing was sent.
     pub fn check_quarantine(
         &self,
         now: Now,
@@ -98,12 +99,12 @@
         Err(Refusal::quarantined(ends, until - now))
     }
 
-    /// What a peer should know of suspicions.
+    /// Returns the suspects to advertise to a peer.
     pub fn known_suspects(&self, now: Now) -> Vec<ToldSuspect> {
         self.suspicions.known(now)
     }
 
-    /// The suspicions that have changed since this was asked last.
+    /// Returns the suspicions that have changed since the last call.
     pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
         self.suspicions.take_news()
     }
--- a/crates/core/src/completion/control/queueing.rs
+++ b/crates/core/src/completion/control/queueing.rs
@@ -1,4 +1,4 @@
-//! What waits for an engine: when it starts, and when it is refused.
+//! Queues of requests that wait for an engine: start, expiry and refusal.
 
 use super::Control;
 use super::placement::BUSY_RETRY_AFTER;
@@ -11,7 +11,7 @@
 use crate::TimelineEvent;
 
 impl Control {
-    /// Starts what waits for the models of one engine.
+    /// Starts queued requests for the models of one engine.
     pub(super) fn drain_engine(&mut self, now: Now, engine: &str, commands: &mut Vec<Command>) {
         let Some(view) = self.backends.view(engine) else {
             return;
@@ -48,7 +48,7 @@
         Some(queued.submission.clone())
     }
 
-    /// Answers at once whatever can't start in time any more.
+    /// Refuses queued requests whose deadline has passed.
     pub(super) fn expire(&mut self, now: Now, commands: &mut Vec<Command>) {
         let mut expired = Vec::new();
         for queue in self.queues.values_mut() {
--- a/crates/core/src/completion/cursor.rs
+++ b/crates/core/src/completion/cursor.rs
@@ -1,7 +1,7 @@
-//! The position of a caller in its stream, carried by the caller itself.
+//! The position of a caller in its stream, held by the caller itself.
 //!
-//! Instances keep nothing, so the `id` of each server-sent event names all that
-//! another instance needs to go on. See `docs/design/0002-cursor.md`.
+//! Instances store no stream positions, so the `id` of each server-sent event contains everything
+//! that another instance needs to continue the stream. See `docs/design/0002-cursor.md`.
 
 use thiserror::Error;
 
@@ -10,15 +10,15 @@
 use crate::GenerationId;
 use crate::Keyring;
 
-const PURPOSE: &str = "cursor";
-const FIELDS: usize = 6;
+const SIGNING_PURPOSE: &str = "cursor";
+const FIELD_COUNT: usize = 6;
 
 /// A running digest of the text delivered so far.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct TextDigest(u64);
 
 impl TextDigest {
-    /// Folds in the next token.
+    /// Returns the digest extended by the next token.
     #[must_use]
     pub fn with(self, token: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -29,7 +29,7 @@
         TextDigest(u64::from_le_bytes(first))
     }
 
-    /// The digest of a whole list of tokens.
+    /// Returns the digest of a list of tokens.
     pub fn of(tokens: &[String]) -> Self {
         tokens
             .iter()
@@ -37,7 +37,7 @@
     }
 }
 
-/// Why a cursor is not accepted.
+/// Why a cursor is rejected.
 #[derive(Debug, Error, Eq, PartialEq)]
 pub enum CursorError {
     /// The text is not a cursor.
@@ -48,7 +48,7 @@
     Forged,
 }
 
-/// What a caller holds after one event of its stream.
+/// Position of a caller after one event of its stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Cursor {
     /// The generation that the tokens came from.
@@ -64,22 +64,22 @@
 }
 
 impl Cursor {
-    /// The signed text form, bound to `owner` (workspace and body of the
-    /// request), so that a cursor is of no use to another caller.
+    /// Returns the signed text form. It is bound to `owner` (workspace and body of the request),
+    /// so that another caller can't use the cursor.
     pub fn encode(&self, owner: &str, keyring: &Keyring) -> String {
         let body = self.body();
-        let tag = keyring.sign(PURPOSE, signed(&body, owner).as_bytes());
+        let tag = keyring.sign(SIGNING_PURPOSE, signed(&body, owner).as_bytes());
         format!("{body}~{tag}")
     }
 
-    /// Reads a cursor back.
+    /// Parses and verifies the text form.
     ///
     /// # Errors
     ///
-    /// [`CursorError`] when the text is no cursor or its tag does not match.
+    /// [`CursorError`] if the text is not a cursor or its tag does not match.
     pub fn decode(text: &str, owner: &str, keyring: &Keyring) -> Result<Self, CursorError> {
         let fields: Vec<&str> = text.split('~').collect();
-        if fields.len() != FIELDS {
+        if fields.len() != FIELD_COUNT {
             return Err(CursorError::Malformed);
         }
         let cursor = Cursor {
@@ -92,7 +92,7 @@
             ),
         };
         let message = signed(&cursor.body(), owner);
-        if !keyring.verify(PURPOSE, message.as_bytes(), fields[5]) {
+        if !keyring.verify(SIGNING_PURPOSE, message.as_bytes(), fields[5]) {
             return Err(CursorError::Forged);
         }
         Ok(cursor)
--- a/crates/core/src/completion/outcome.rs
+++ b/crates/core/src/completion/outcome.rs
@@ -5,21 +5,21 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a caller is told about the execution of its request.
+/// Whether a request was executed, as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No byte of the request reached a backend server, or the backend server
-    /// itself said that it did not run it.
+    /// No byte of the request reached a backend server, or the backend server answered that it
+    /// did not run the request.
     NotRun,
-    /// The request ran and the answer is its own.
+    /// The request ran, and the answer is the result of that run.
     Ran,
-    /// Neither of the others can be proved.
+    /// Neither `NotRun` nor `Ran` can be proved.
     Unknown,
 }
 
 impl Outcome {
-    /// The form used in headers and error bodies.
+    /// Returns the form used in headers and error bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::NotRun => "not_run",
--- a/crates/core/src/completion/session.rs
+++ b/crates/core/src/completion/session.rs
@@ -1,4 +1,4 @@
-//! One generation as an entry instance delivers it.
+//! Delivery of one generation to its caller.
 
 use crate::Attempt;
 use crate::BackendId;
@@ -8,34 +8,34 @@
 use crate::StallBound;
 use crate::TextDigest;
 
-/// What to do with a token that arrived from an engine.
+/// Decision about a token received from an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TokenVerdict {
-    /// Next in order: deliver it.
+    /// The token is next in order: deliver it.
     Deliver,
-    /// Already delivered: drop it.
+    /// The token was delivered already: drop it.
     Duplicate,
-    /// Of an attempt that was given up, or of another generation: drop it.
+    /// The token belongs to another attempt or another generation: drop it.
     Foreign,
-    /// Tokens before it are missing: give up the connection and resume.
+    /// Tokens before it are missing: close the connection and resume.
     Gap,
-    /// The text read again is not what the caller holds: end with an error.
+    /// The text read again differs from the text that the caller holds: end with an error.
     Diverged,
 }
 
-/// What to do with an engine's end mark.
+/// Decision about the end mark of an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndVerdict {
-    /// Every token was delivered: the stream is whole.
-    Whole,
-    /// Of an attempt that was given up, or of another generation: ignore it.
+    /// Every token was delivered: the stream is complete.
+    Complete,
+    /// The mark belongs to another attempt or another generation: ignore it.
     Foreign,
-    /// The engine generated more than arrived: resume.
+    /// Tokens are missing: resume.
     Gap,
 }
 
-/// Decides about tokens by generation, attempt and position; the caller sees
-/// each position once whatever the engines do.
+/// Checks tokens by generation, attempt and position, so that the caller receives each position
+/// exactly once, regardless of what the engines send.
 #[derive(Clone, Debug)]
 pub struct Session {
     generation: GenerationId,
@@ -49,7 +49,7 @@
 }
 
 impl Session {
-    /// A fresh generation.
+    /// Creates the session of a new generation.
     pub fn new(generation: GenerationId, now: Now) -> Self {
         Session {
             generation,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// A generation that a caller came back to. `received` are the tokens it
-    /// sent along, if any; otherwise they are read from the engine again,
-    /// which is why the session starts from nothing and withholds what the
-    /// caller has.
+    /// Creates the session of a generation to which a caller reconnects. `received` contains the
+    /// tokens that the caller sent along. If it is empty, the tokens are read from the engine
+    /// again: the session then starts without tokens and does not deliver those that the caller
+    /// already holds.
     ///
-    /// Returns `None` when `received` is not what was delivered.
+    /// Returns `None` if `received` differs from the delivered tokens.
     pub fn resumed(cursor: &Cursor, received: Vec<String>, now: Now) -> Option<Self> {
         let mut session = Session::new(cursor.generation.clone(), now);
         session.attempt = cursor.attempt;
@@ -87,14 +87,14 @@
         Some(session)
     }
 
-    /// Begins an attempt; tokens of the one before are foreign from here on.
+    /// Begins an attempt. Tokens of the previous one are [`TokenVerdict::Foreign`] from then on.
     pub fn begin_attempt(&mut self, attempt: Attempt, engine: BackendId, now: Now) {
         self.attempt = attempt;
         self.engine = engine;
         self.stall = StallBound::new(now);
     }
 
-    /// Decides about a token; `position` counts from 0.
+    /// Decides about a token; `position` is counted from 0.
     pub fn token(
         &mut self,
         generation: &str,
@@ -125,7 +125,7 @@
         TokenVerdict::Duplicate
     }
 
-    /// Decides about an end mark after `total` tokens.
+    /// Decides about the end mark of an engine that has generated `total` tokens.
     pub fn end(&self, generation: &str, attempt: Attempt, total: u32) -> EndVerdict {
         if generation != self.generation || attempt != self.attempt {
             return EndVerdict::Foreign;
@@ -133,16 +133,16 @@
         if total != self.known() || total < self.held_by_caller {
             return EndVerdict::Gap;
         }
-        EndVerdict::Whole
+        EndVerdict::Complete
     }
 
-    /// Whether another engine can go on from here: the text that the caller
-    /// holds is known.
+    /// Whether another engine can continue the generation, which requires all of the text that the
+    /// caller holds.
     pub fn can_continue(&self) -> bool {
         self.known() >= self.held_by_caller
     }
 
-    /// The cursor after the last token known.
+    /// Returns the cursor after the last known token.
     pub fn cursor(&self) -> Cursor {
         Cursor {
             generation: self.generation.clone(),
@@ -153,37 +153,37 @@
         }
     }
 
-    /// Number of tokens known, from position 0.
+    /// Returns the number of known tokens, counted from position 0.
     pub fn known(&self) -> u32 {
         u32::try_from(self.tokens.len()).unwrap_or(u32::MAX)
     }
 
-    /// Number of tokens that the caller holds or was sent.
+    /// Returns the number of tokens that the caller holds or was sent.
     pub fn delivered(&self) -> u32 {
         self.known().max(self.held_by_caller)
     }
 
-    /// The tokens known.
+    /// Returns the known tokens.
     pub fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// The generation.
+    /// Returns the id of the generation.
     pub fn generation(&self) -> &GenerationId {
         &self.generation
     }
 
-    /// The attempt under way, 0 before the first.
+    /// Returns the number of the current attempt; 0 before the first.
     pub fn attempt(&self) -> Attempt {
         self.attempt
     }
 
-    /// The backend server of the attempt under way.
+    /// Returns the backend server of the current attempt.
     pub fn engine(&self) -> &BackendId {
         &self.engine
     }
 
-    /// When the attempt counts as stalled unless it makes progress.
+    /// Returns the time at which the attempt counts as stalled unless it makes progress.
     pub fn stall_deadline(&self) -> Now {
         self.stall.deadline()
     }
--- a/crates/core/src/completion/stall_bound.rs
+++ b/crates/core/src/completion/stall_bound.rs
@@ -1,4 +1,4 @@
-//! How long a stream may make no progress before it is moved.
+//! Time that a stream may make no progress before it fails over.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 const MEAN_GAIN: f64 = 0.125;
 const DEVIATION_GAIN: f64 = 0.25;
 
-/// Deviations above the mean that still count as the model's own pace.
+/// Number of deviations above the mean that still count as the model's normal pace.
 const DEVIATION_FACTOR: f64 = 8.0;
 
-/// Factor on the mean, for streams with hardly any deviation.
+/// Factor on the mean, for streams with almost no deviation.
 const MEAN_FACTOR: f64 = 20.0;
 
-/// Limits of the bound between tokens.
+/// Minimum and maximum of the bound between tokens.
 const MIN_BOUND: Duration = Duration::from_millis(500);
 const MAX_BOUND: Duration = Duration::from_secs(5);
 
-/// Bound until the first token of an attempt: prompts wait and are read first.
+/// Bound until the first token of an attempt, which includes queueing and prefill.
 const FIRST_TOKEN_BOUND: Duration = Duration::from_secs(10);
 
-/// Adapts to the pace of one stream.
+/// Stall bound that adapts to the pace of one stream.
 #[derive(Clone, Debug)]
 pub struct StallBound {
     last: Now,
@@ -30,7 +30,7 @@
 }
 
 impl StallBound {
-    /// Starts with an attempt.
+    /// Creates the bound at the start of an attempt.
     pub fn new(now: Now) -> Self {
         StallBound {
             last: now,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Notes progress.
+    /// Records progress of the stream.
     pub fn progress(&mut self, now: Now) {
         let gap_s = now.saturating_sub(self.last).as_secs_f64();
         match self.mean_s {
@@ -53,7 +53,7 @@
         self.last = now;
     }
 
-    /// The longest time without progress that is tolerated now.
+    /// Returns the longest time without progress that is currently tolerated.
     pub fn bound(&self) -> Duration {
         let Some(mean_s) = self.mean_s else {
             return FIRST_TOKEN_BOUND;
@@ -63,7 +63,7 @@
         Duration::from_secs_f64(bound_s).clamp(MIN_BOUND, MAX_BOUND)
     }
 
-    /// The moment after which the stream counts as stalled.
+    /// Returns the time after which the stream counts as stalled.
     pub fn deadline(&self) -> Now {
         self.last + self.bound()
     }
--- a/crates/core/src/completion/ticket.rs
+++ b/crates/core/src/completion/ticket.rs
@@ -1,4 +1,5 @@
-//! A ticket names the one process that may run a call that may not be repeated.
+//! Tickets for calls that may not be repeated. A ticket names the only process that may run the
+//! call.
 
 use thiserror::Error;
 
@@ -7,10 +8,10 @@
 use crate::Keyring;
 use crate::WorkspaceId;
 
-const PURPOSE: &str = "ticket";
-const FIELDS: usize = 6;
+const SIGNING_PURPOSE: &str = "ticket";
+const FIELD_COUNT: usize = 6;
 
-/// Why a ticket is not accepted.
+/// Why a ticket is rejected.
 #[derive(Debug, Error, Eq, PartialEq)]
 pub enum TicketError {
     /// The text is not a ticket.
@@ -21,36 +22,36 @@
     Forged,
 }
 
-/// Permission for one call, spent at most once in the memory of one process.
+/// Permission for one call, which the issuing process accepts at most once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ticket {
     /// Unique number of the ticket; also the idempotency key sent to the
     /// backend server.
     pub number: String,
-    /// The instance that alone may run the call.
+    /// The only instance that may run the call.
     pub instance: InstanceId,
-    /// The life of that instance's process.
+    /// Incarnation of that instance's process.
     pub incarnation: Incarnation,
-    /// Milliseconds on the issuer's own monotonic clock after which it refuses.
+    /// Expiry in milliseconds on the issuer's monotonic clock.
     pub expires_ms: u64,
-    /// Service that the call goes to.
+    /// Service that the call is for.
     pub service: String,
 }
 
 impl Ticket {
-    /// The signed text form, bound to the workspace.
+    /// Returns the signed text form, bound to the workspace.
     pub fn encode(&self, workspace: &WorkspaceId, keyring: &Keyring) -> String {
         let body = self.body();
-        let tag = keyring.sign(PURPOSE, signed(&body, workspace).as_bytes());
+        let tag = keyring.sign(SIGNING_PURPOSE, signed(&body, workspace).as_bytes());
         format!("{body}~{tag}")
     }
 
-    /// Reads a ticket back.
+    /// Parses and verifies the text form.
     ///
     /// # Errors
     ///
-    /// [`TicketError`] when the text is no ticket, or not one for `workspace`
-    /// and `service`.
+    /// [`TicketError`] if the text is not a ticket, or not one for `workspace` and
+    /// `service`.
     pub fn decode(
         text: &str,
         workspace: &WorkspaceId,
@@ -58,7 +59,7 @@
         keyring: &Keyring,
     ) -> Result<Self, TicketError> {
         let fields: Vec<&str> = text.split('~').collect();
-        if fields.len() != FIELDS {
+        if fields.len() != FIELD_COUNT {
             return Err(TicketError::Malformed);
         }
         let ticket = Ticket {
@@ -69,7 +70,7 @@
             service: fields[4].to_owned(),
         };
         let message = signed(&ticket.body(), workspace);
-        let genuine = keyring.verify(PURPOSE, message.as_bytes(), fields[5]);
+        let genuine = keyring.verify(SIGNING_PURPOSE, message.as_bytes(), fields[5]);
         if !genuine || ticket.service != service {
             return Err(TicketError::Forged);
         }
--- a/crates/core/src/completion/ticket_store.rs
+++ b/crates/core/src/completion/ticket_store.rs
@@ -1,4 +1,4 @@
-//! The memory that makes a ticket spendable at most once.
+//! Records of spent tickets, which ensure that each ticket is spent at most once.
 
 use std::collections::BTreeMap;
 use std::collections::HashSet;
@@ -9,38 +9,38 @@
 use crate::Now;
 use crate::Ticket;
 
-/// What may be done with a ticket that was presented.
+/// Decision about a presented ticket.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum SpendVerdict {
-    /// First presentation: run the call now. The bytes must leave before
-    /// `send_before` on this process's monotonic clock.
+    /// First presentation: run the call now. The request must be sent before `send_before` on
+    /// this process's monotonic clock.
     Run {
-        /// Deadline of the check just before the bytes leave.
+        /// Deadline that is checked immediately before the request is sent.
         send_before: Now,
     },
-    /// Presented before: wait for, or repeat, the answer of that run.
+    /// Presented before: wait for the answer of that run, or repeat it.
     SameRun,
-    /// Another process alone may run it.
+    /// Only another process may run the call.
     Forward {
-        /// That process's instance.
+        /// Instance of that process.
         instance: InstanceId,
-        /// That process's life.
+        /// Incarnation of that process.
         incarnation: Incarnation,
     },
-    /// It expired unspent in this life: it never ran and never will.
+    /// The ticket expired unspent in this incarnation: the call never ran and never will.
     Expired,
-    /// An earlier life of this instance, or this life beyond its memory, may
-    /// have run it.
+    /// The call may have run in an earlier incarnation of this instance, or in this one so long
+    /// ago that the record has been removed.
     Unknown,
-    /// This process is full of live tickets and never ran this one.
+    /// The store has reached its capacity. The call has not run.
     Full,
 }
 
-/// Issues tickets of this process and records those spent.
+/// Issues tickets of this process and records the spent ones.
 ///
-/// A record outlives its ticket by another lifetime, in which a ticket without
-/// a record is proved never to have run. Spending and expiry are judged by the
-/// issuer's monotonic clock alone, so clocks of different machines play no part.
+/// A record is kept for one more lifetime after its ticket has expired. During that time, a ticket
+/// without a record is proved never to have run. Only the issuer's monotonic clock decides about
+/// spending and expiry, so differences between the clocks of machines have no effect.
 #[derive(Debug)]
 pub struct TicketStore {
     instance: InstanceId,
@@ -52,7 +52,7 @@
 }
 
 impl TicketStore {
-    /// Creates the book of one process life.
+    /// Creates the store of one incarnation of a process.
     pub fn new(
         instance: InstanceId,
         incarnation: Incarnation,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Decides about a ticket whose signature was verified.
+    /// Spends a ticket whose signature was verified, if that is allowed.
     pub fn spend(&mut self, now: Now, ticket: &Ticket) -> SpendVerdict {
         self.remove_expired(now);
         if ticket.instance != self.instance {
@@ -107,19 +107,19 @@
         }
     }
 
-    /// Number of spent tickets remembered.
+    /// Returns the number of recorded tickets.
     pub fn len(&self) -> usize {
         self.spent.len()
     }
 
-    /// Whether no spent ticket is remembered.
+    /// Returns whether no ticket is recorded.
     pub fn is_empty(&self) -> bool {
         self.spent.is_empty()
     }
 
     fn expired(&self, now: Now, ticket: &Ticket) -> SpendVerdict {
-        let forgotten_ms = ticket.expires_ms + millis(self.lifetime);
-        if millis(now) < forgotten_ms {
+        let record_expires_ms = ticket.expires_ms + millis(self.lifetime);
+        if millis(now) < record_expires_ms {
             SpendVerdict::Expired
         } else {
             SpendVerdict::Unknown
@@ -127,10 +127,10 @@
     }
 
     fn record(&mut self, ticket: &Ticket) {
-        let forgotten_ms = ticket.expires_ms + millis(self.lifetime);
+        let record_expires_ms = ticket.expires_ms + millis(self.lifetime);
         self.spent.insert(ticket.number.clone());
         self.by_expiry
-            .entry(forgotten_ms)
+            .entry(record_expires_ms)
             .or_default()
             .push(ticket.number.clone());
     }
--- a/crates/core/tests/call_history.rs
+++ b/crates/core/tests/call_history.rs
@@ -1,6 +1,6 @@
-//! Histories of concurrent deliveries, crashes, pauses and lost answers,
-//! checked by a library checker: each ticket runs at most once, `not_run` means
-//! zero executions, and `ran` returns that execution's own answer.
+//! Histories of concurrent deliveries, crashes, pauses and lost answers, verified by a
+//! linearizability checker: each ticket runs at most once, `not_run` means zero executions, and
+//! `ran` returns the answer of that execution.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 const LIFETIME: Duration = Duration::from_secs(10);
 const TICKETS_AT_ONCE: usize = 100;
 
-/// Deviations that the checker must catch.
+/// The implementation as built, and faulty variants that the checker must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Variant {
     AsBuilt,
@@ -36,21 +36,21 @@
     TicketHonouredByNewIncarnation,
 }
 
-/// What happened to one ticket.
+/// One operation on a ticket.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Operation {
     Execute(u64),
-    Told(Outcome, u64),
+    Reported(Outcome, u64),
 }
 
 struct AtMostOnce;
 
-/// A ticket is fresh, was executed, or was said not to have run.
+/// State of a ticket: not run yet, executed, or reported as not run.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum TicketState {
     Fresh,
     Executed(u64),
-    SaidNotRun,
+    ReportedNotRun,
 }
 
 impl Specification for AtMostOnce {
@@ -67,19 +67,19 @@
                 (true, TicketState::Executed(*value))
             }
             (Operation::Execute(_), state) => (false, state),
-            (Operation::Told(Outcome::Unknown, _), state) => (true, state),
-            (Operation::Told(Outcome::Ran, value), state) => {
+            (Operation::Reported(Outcome::Unknown, _), state) => (true, state),
+            (Operation::Reported(Outcome::Ran, value), state) => {
                 (state == TicketState::Executed(*value), state)
             }
-            (Operation::Told(Outcome::NotRun, _), TicketState::Executed(value)) => {
+            (Operation::Reported(Outcome::NotRun, _), TicketState::Executed(value)) => {
                 (false, TicketState::Executed(value))
             }
-            (Operation::Told(Outcome::NotRun, _), _) => (true, TicketState::SaidNotRun),
+            (Operation::Reported(Outcome::NotRun, _), _) => (true, TicketState::ReportedNotRun),
         }
     }
 }
 
-/// A run under way at the instance that its ticket names.
+/// A current run at the instance that its ticket names.
 struct Run {
     ticket: usize,
     decisions: CallRun,
@@ -87,37 +87,37 @@
 }
 
 struct Instance {
-    life: u32,
-    book: TicketStore,
+    incarnation: u32,
+    ticket_store: TicketStore,
     runs: Vec<Run>,
     answers: HashMap<usize, (Outcome, u64)>,
 }
 
-/// A delivery that waits for its answer: its instance, ticket and start.
+/// A delivery that waits for its answer, with its instance, ticket and start.
 struct Delivery {
     owner: usize,
     ticket: usize,
     began: usize,
 }
 
-struct World {
+struct Environment {
     variant: Variant,
     random: Pcg32,
     now: Duration,
     instances: Vec<Instance>,
     tickets: Vec<(Ticket, usize)>,
     waiting: Vec<Delivery>,
-    /// Calls that left their instance and may still be executed.
+    /// Calls that were sent by their instance and may still be executed.
     on_the_wire: Vec<usize>,
     executions: u64,
-    moment: usize,
-    /// Per ticket: begin, end and operation.
+    step: usize,
+    /// Start, end and operation for each ticket.
     history: Vec<Vec<(usize, usize, Operation)>>,
 }
 
-impl World {
+impl Environment {
     fn new(variant: Variant, seed: u64) -> Self {
-        let mut world = World {
+        let mut environment = Environment {
             variant,
             random: Pcg32::seed_from_u64(seed),
             now: Duration::from_secs(1),
@@ -128,16 +128,16 @@
             waiting: Vec::new(),
             on_the_wire: Vec::new(),
             executions: 0,
-            moment: 0,
+            step: 0,
             history: vec![Vec::new(); TICKETS],
         };
         for number in 0..TICKETS {
-            let owner = world.draw(INSTANCES);
-            let book = &world.instances[owner].book;
-            let ticket = book.issue(world.now, number.to_string(), "slots");
-            world.tickets.push((ticket, owner));
+            let owner = environment.draw(INSTANCES);
+            let ticket_store = &environment.instances[owner].ticket_store;
+            let ticket = ticket_store.issue(environment.now, number.to_string(), "slots");
+            environment.tickets.push((ticket, owner));
         }
-        world
+        environment
     }
 
     fn draw(&mut self, below: usize) -> usize {
@@ -146,28 +146,28 @@
 
     fn run(mut self) -> Self {
         for _ in 0..STEPS {
-            self.moment += 1;
+            self.step += 1;
             match self.draw(10) {
                 0..=2 => self.deliver(),
-                3..=5 => self.advance_a_run(),
+                3..=5 => self.advance_run(),
                 6..=7 => self.service_executes(),
                 8 => self.now += Duration::from_millis(700),
                 _ => self.crash(),
             }
         }
-        self.settle()
+        self.execute_remaining()
     }
 
-    /// Any instance may get it; it is always decided by the owner.
+    /// Delivers a call. Any instance may receive it; the owner of the ticket always decides.
     fn deliver(&mut self) {
         let number = self.draw(TICKETS);
         let (mut ticket, owner) = self.tickets[number].clone();
-        let began = self.moment;
+        let began = self.step;
         let instance = &mut self.instances[owner];
         if self.variant == Variant::TicketHonouredByNewIncarnation {
-            ticket.incarnation = instance.life.to_string();
+            ticket.incarnation = instance.incarnation.to_string();
         }
-        let verdict = instance.book.spend(self.now, &ticket);
+        let verdict = instance.ticket_store.spend(self.now, &ticket);
         let waits = matches!(verdict, SpendVerdict::Run { .. } | SpendVerdict::SameRun);
         match verdict {
             SpendVerdict::Run { send_before } => instance.runs.push(Run {
@@ -177,10 +177,10 @@
             }),
             SpendVerdict::SameRun => {}
             SpendVerdict::Expired | SpendVerdict::Full => {
-                self.tell(number, began, Outcome::NotRun, 0)
+                self.report(number, began, Outcome::NotRun, 0)
             }
             SpendVerdict::Unknown | SpendVerdict::Forward { .. } => {
-                self.tell(number, began, Outcome::Unknown, 0);
+                self.report(number, began, Outcome::Unknown, 0);
             }
         }
         if waits {
@@ -194,13 +194,13 @@
         }
     }
 
-    fn advance_a_run(&mut self) {
+    fn advance_run(&mut self) {
         let owner = self.draw(INSTANCES);
         if self.instances[owner].runs.is_empty() {
             return;
         }
         let chosen = self.draw(self.instances[owner].runs.len());
-        let luck = self.draw(4);
+        let draw = self.draw(4);
         let now = self.now;
         let variant = self.variant;
         let run = &mut self.instances[owner].runs[chosen];
@@ -208,8 +208,8 @@
             return;
         }
         match run.decisions.next(now) {
-            CallStep::Send(_) if luck == 0 => run.decisions.sent(SendResult::NotConnected),
-            CallStep::Send(_) if luck == 1 => {
+            CallStep::Send(_) if draw == 0 => run.decisions.sent(SendResult::NotConnected),
+            CallStep::Send(_) if draw == 1 => {
                 // The answer is lost, whether or not the call gets executed.
                 let lost = match variant {
                     Variant::RetryAfterBytesWereSent => SendResult::NotConnected,
@@ -239,9 +239,9 @@
         let ticket = self.on_the_wire.swap_remove(chosen);
         self.executions += 1;
         let value = self.executions;
-        let moment = self.moment;
-        self.history[ticket].push((moment, moment, Operation::Execute(value)));
-        self.moment += 1;
+        let step = self.step;
+        self.history[ticket].push((step, step, Operation::Execute(value)));
+        self.step += 1;
         for owner in 0..INSTANCES {
             let runs = &self.instances[owner].runs;
             let found = runs
@@ -268,33 +268,33 @@
         self.waiting = rest;
         for delivery in done {
             let (outcome, value) = answers[&delivery.ticket];
-            self.tell(delivery.ticket, delivery.began, outcome, value);
+            self.report(delivery.ticket, delivery.began, outcome, value);
         }
     }
 
-    /// A new life with an empty memory; what is on the wire stays there.
+    /// Restarts an instance as a new incarnation with an empty store. Calls on the wire stay there.
     fn crash(&mut self) {
         let owner = self.draw(INSTANCES);
-        let life = self.instances[owner].life + 1;
-        self.instances[owner] = Instance::new(owner, life);
-        let (cut, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
+        let incarnation = self.instances[owner].incarnation + 1;
+        self.instances[owner] = Instance::new(owner, incarnation);
+        let (lost, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.waiting)
             .into_iter()
             .partition(|d| d.owner == owner);
         self.waiting = rest;
-        for delivery in cut {
-            self.tell(delivery.ticket, delivery.began, Outcome::Unknown, 0);
+        for delivery in lost {
+            self.report(delivery.ticket, delivery.began, Outcome::Unknown, 0);
         }
     }
 
-    fn tell(&mut self, ticket: usize, began: usize, outcome: Outcome, value: u64) {
-        let told = Operation::Told(outcome, value);
-        self.history[ticket].push((began, self.moment, told));
+    fn report(&mut self, ticket: usize, began: usize, outcome: Outcome, value: u64) {
+        let reported = Operation::Reported(outcome, value);
+        self.history[ticket].push((began, self.step, reported));
     }
 
-    /// What is still on the wire gets executed; who still waits hears nothing.
-    fn settle(mut self) -> Self {
+    /// Executes all calls that are still on the wire. Deliveries that still wait get no answer.
+    fn execute_remaining(mut self) -> Self {
         while !self.on_the_wire.is_empty() {
-            self.moment += 1;
+            self.step += 1;
             self.service_executes();
         }
         self
@@ -310,47 +310,56 @@
 }
 
 impl Instance {
-    fn new(number: usize, life: u32) -> Self {
+    fn new(number: usize, incarnation: u32) -> Self {
         let name = number.to_string();
         Instance {
-            book: TicketStore::new(name, life.to_string(), LIFETIME, TICKETS_AT_ONCE),
-            life,
+            ticket_store: TicketStore::new(
+                name,
+                incarnation.to_string(),
+                LIFETIME,
+                TICKETS_AT_ONCE,
+            ),
+            incarnation,
             runs: Vec::new(),
             answers: HashMap::new(),
         }
     }
 }
 
-/// Each operation is a process of its own.
+/// Converts operations to a history in which each operation is a process of its own.
 fn to_history(operations: &[(usize, usize, Operation)]) -> History<Operation> {
     let mut actions = Vec::new();
     for (process, (began, ended, operation)) in operations.iter().enumerate() {
         actions.push((began * 2, (process, Action::Call(*operation))));
         actions.push((ended * 2 + 1, (process, Action::Response(*operation))));
     }
-    actions.sort_by_key(|(moment, _)| *moment);
+    actions.sort_by_key(|(step, _)| *step);
     History::from_actions(actions.into_iter().map(|(_, action)| action).collect())
 }
 
 #[test]
 fn every_ticket_runs_at_most_once() {
-    let mut told = HashMap::new();
+    let mut reported = HashMap::new();
     for seed in 0..SEEDS {
-        let world = World::new(Variant::AsBuilt, seed).run();
-        assert!(world.is_correct(), "seed {seed}: {:?}", world.history);
-        for (_, _, operation) in world.history.iter().flatten() {
-            if let Operation::Told(outcome, _) = operation {
-                *told.entry(outcome.as_str()).or_insert(0) += 1;
+        let environment = Environment::new(Variant::AsBuilt, seed).run();
+        assert!(
+            environment.is_correct(),
+            "seed {seed}: {:?}",
+            environment.history
+        );
+        for (_, _, operation) in environment.history.iter().flatten() {
+            if let Operation::Reported(outcome, _) = operation {
+                *reported.entry(outcome.as_str()).or_insert(0) += 1;
             }
         }
     }
-    println!("told over {SEEDS} seeds: {told:?}");
-    assert!(told["ran"] > 0 && told["not_run"] > 0 && told["unknown"] > 0);
+    println!("reported over {SEEDS} seeds: {reported:?}");
+    assert!(reported["ran"] > 0 && reported["not_run"] > 0 && reported["unknown"] > 0);
 }
 
 #[test_case(Variant::RetryAfterBytesWereSent)]
 #[test_case(Variant::TicketHonouredByNewIncarnation)]
-fn the_checker_catches(variant: Variant) {
-    let wrong = (0..SEEDS).filter(|seed| !World::new(variant, *seed).run().is_correct());
-    assert!(wrong.count() > 0);
+fn the_checker_detects(variant: Variant) {
+    let incorrect = (0..SEEDS).filter(|seed| !Environment::new(variant, *seed).run().is_correct());
+    assert!(incorrect.count() > 0);
 }
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Which engine gets a request, who waits, and who is told no.
+//! Placement of requests: the choice of the engine, queueing and refusals.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeSet;
@@ -28,10 +28,10 @@
 const NOW: Duration = Duration::from_secs(10);
 const DEADLINE: Duration = Duration::from_secs(15);
 
-/// Streams that make progress all the time.
+/// Number of streams that make progress continuously.
 const STEADY: usize = 8;
 
-/// Decisions over engines `e0`, `e1`, … of one zone.
+/// Control state with the engines `e0`, `e1`, … of one zone.
 struct Scene {
     control: Control,
     now: Duration,
@@ -72,7 +72,7 @@
             control: Control::new(settings()),
             now: NOW,
         };
-        scene.tell(Event::ConfigOffered {
+        scene.handle(Event::ConfigOffered {
             version: 1,
             document: Arc::new(document),
             source: "platform".to_owned(),
@@ -80,7 +80,7 @@
         scene
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Command> {
+    fn handle(&mut self, event: Event) -> Vec<Command> {
         self.control.handle(self.now, 0, event)
     }
 
@@ -97,19 +97,19 @@
             ..LoadReport::default()
         };
         change(&mut report);
-        self.tell(Event::Report {
+        self.handle(Event::Report {
             backend: engine.to_owned(),
             report,
         })
     }
 
     fn submit(&mut self, request: &str, attempt: u32, delivering: bool) -> Vec<Command> {
-        self.tell(Event::Submit(Submission {
+        self.handle(Event::Submit(Submission {
             request: request.to_owned(),
             workspace: "w".to_owned(),
             model: "m".to_owned(),
             prompt_tokens: 100,
-            // Prompts that share nothing.
+            // Prompts without common prefixes.
             prefix: request.bytes().map(u64::from).sum(),
             deadline: DEADLINE,
             attempt,
@@ -118,11 +118,11 @@
         }))
     }
 
-    /// An answer of an engine asks for rest, or says that it leaves.
-    fn notice(&mut self, engine: &str, is_leaving: bool, rest: Duration) {
+    /// Applies a server notice of an engine that asks for a backoff or states that it is draining.
+    fn notice(&mut self, engine: &str, is_leaving: bool, backoff: Duration) {
         let notice = ServerNotice {
             is_leaving,
-            retry_after: RetryAfter::In(rest),
+            retry_after: RetryAfter::In(backoff),
             ..ServerNotice::default()
         };
         let backend = engine.to_owned();
@@ -131,12 +131,12 @@
             sent_at: Duration::ZERO,
             tells_limits: false,
         };
-        self.tell(Event::NoticeReceived { backend, heard });
+        self.handle(Event::NoticeReceived { backend, heard });
     }
 
     fn lose(&mut self, request: &str) {
         let request = request.to_owned();
-        self.tell(Event::AttemptLost {
+        self.handle(Event::AttemptLost {
             request,
             engine_failed: true,
         });
@@ -157,7 +157,7 @@
     }
 }
 
-/// The engine of the start among the commands.
+/// Returns the engine of the `Start` command, if there is one.
 fn started(commands: &[Command]) -> Option<&str> {
     commands.iter().find_map(|command| match command {
         Command::Start { placement, .. } => Some(placement.engine.as_str()),
@@ -175,10 +175,10 @@
     })
 }
 
-#[test_case(|r: &mut LoadReport| r.leaving = true; "it is leaving")]
+#[test_case(|r: &mut LoadReport| r.leaving = true; "it is draining")]
 #[test_case(|r: &mut LoadReport| r.waiting = 1; "sessions wait inside it")]
-#[test_case(|r: &mut LoadReport| { r.used_tokens = 3_900; r.running = 20; }; "its memory is short")]
-fn an_engine_gets_nothing_when(change: fn(&mut LoadReport)) {
+#[test_case(|r: &mut LoadReport| { r.used_tokens = 3_900; r.running = 20; }; "its memory is nearly full")]
+fn no_request_is_placed_on_an_engine_when(change: fn(&mut LoadReport)) {
     let mut scene = Scene::new(2);
     scene.report("e0", 1, change);
     scene.report("e1", 1, |_| {});
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_request_waits_for_room_and_starts_when_it_is_there() {
+fn a_request_is_queued_without_room_and_starts_once_there_is_room() {
     let mut scene = Scene::new(1);
     scene.report("e0", 1, |r| r.waiting = 2);
     assert!(scene.submit("r", 1, false).is_empty());
@@ -199,18 +199,18 @@
 }
 
 #[test]
-fn a_request_that_missed_its_deadline_is_refused_at_once() {
+fn a_queued_request_is_refused_when_its_deadline_passes() {
     let mut scene = Scene::new(1);
     scene.report("e0", 1, |r| r.waiting = 2);
     scene.submit("r", 1, false);
     scene.now = DEADLINE;
-    let commands = scene.tell(Event::Tick);
+    let commands = scene.handle(Event::Tick);
     assert_eq!(refused(&commands), Some(RefusalKind::Deadline));
     assert_eq!(scene.control.queued(), 0);
 }
 
 #[test]
-fn a_full_queue_refuses_but_never_what_is_being_delivered() {
+fn a_full_queue_refuses_new_requests_but_not_started_streams() {
     let mut scene = Scene::new(1);
     scene.report("e0", 1, |r| r.waiting = 2);
     for number in 0..3 {
@@ -224,9 +224,9 @@
 }
 
 #[test]
-fn without_any_engine_a_request_is_refused_and_a_stream_waits() {
+fn without_an_engine_a_request_is_refused_and_a_started_stream_is_queued() {
     let mut scene = Scene::new(1);
-    scene.tell(Event::BackendFailed {
+    scene.handle(Event::BackendFailed {
         backend: "e0".to_owned(),
     });
     assert_eq!(
@@ -235,13 +235,13 @@
     );
     assert!(scene.submit("moved", 2, true).is_empty());
     scene.now += Duration::from_secs(1);
-    assert_eq!(started(&scene.tell(Event::Tick)), Some("e0"));
+    assert_eq!(started(&scene.handle(Event::Tick)), Some("e0"));
 }
 
 #[test]
 fn an_engine_on_probation_gets_one_request_until_it_makes_progress() {
     let mut scene = Scene::new(1);
-    scene.tell(Event::BackendFailed {
+    scene.handle(Event::BackendFailed {
         backend: "e0".to_owned(),
     });
     scene.now += Duration::from_secs(1);
@@ -250,25 +250,26 @@
         refused(&scene.submit("second", 1, false)),
         Some(RefusalKind::NoBackend)
     );
-    scene.tell(Event::Progress {
+    scene.handle(Event::Progress {
         request: "first".to_owned(),
         generated: 1,
     });
     assert_eq!(started(&scene.submit("third", 1, false)), Some("e0"));
 }
 
-/// Dead engines are paused: hardly anything is sent to them, whatever asks.
+/// Engines that fail every request are in backoff, so that few requests are sent to them
+/// regardless of the demand.
 #[test]
-fn dead_engines_are_left_alone() {
+fn failed_engines_receive_few_requests() {
     let mut scene = Scene::new(2);
     let starts = starts_of_failing_requests(&mut scene, false);
     println!("{starts} starts for 1,000 requests to dead engines");
     assert!(starts <= 20, "{starts}");
 }
 
-/// Engines that fail every new request while their old streams make progress
-/// are not paused, so that only the budget bounds the load. Work that is being
-/// delivered is exempt, and shows what there would be without a budget.
+/// Engines that fail every new request while their old streams make progress are not in backoff,
+/// so that only the retry budget bounds the load. Streams that have delivered tokens are exempt
+/// from the budget and show the load without it.
 #[test_case(false, 1_000..=1_111; "with the budget")]
 #[test_case(true, 3_000..=3_000; "without")]
 fn load_under_engines_that_fail_new_requests(exempt: bool, expected: RangeInclusive<usize>) {
@@ -284,7 +285,8 @@
     assert!(expected.contains(&starts), "{starts}");
 }
 
-/// 1,000 requests in a second, each tried up to three times.
+/// Submits 1,000 requests in one second, each with up to three attempts, and returns the number of
+/// starts.
 fn starts_of_failing_requests(scene: &mut Scene, exempt: bool) -> usize {
     let mut starts = 0;
     for number in 0..1_000 {
@@ -293,7 +295,7 @@
         for attempt in 1..=3 {
             for number in 0..STEADY {
                 let request = format!("steady-{number}");
-                scene.tell(Event::Progress {
+                scene.handle(Event::Progress {
                     request,
                     generated: 1,
                 });
@@ -305,13 +307,13 @@
             scene.lose(&request);
         }
         let workspace = "w".to_owned();
-        scene.tell(Event::Closed { request, workspace });
+        scene.handle(Event::Closed { request, workspace });
     }
     starts
 }
 
 #[test]
-fn one_request_tries_an_engine_that_has_rested() {
+fn one_trial_request_is_sent_to_an_engine_after_its_backoff() {
     let mut scene = Scene::new(1);
     scene.report("e0", 1, |_| {});
     scene.notice("e0", false, Duration::from_secs(2));
@@ -321,12 +323,12 @@
     );
     assert!(
         scene.control.watched(scene.now).is_empty(),
-        "nor is it asked"
+        "it is not polled for reports either"
     );
     scene.now += Duration::from_secs(2);
     assert_eq!(started(&scene.submit("r2", 1, false)), Some("e0"));
     assert_eq!(started(&scene.submit("r3", 1, false)), None);
-    scene.tell(Event::Progress {
+    scene.handle(Event::Progress {
         request: "r2".to_owned(),
         generated: 1,
     });
@@ -334,7 +336,7 @@
 }
 
 #[test]
-fn an_engine_that_has_started_anew_is_bound_by_no_word_of_before() {
+fn notices_of_the_previous_incarnation_of_an_engine_do_not_apply() {
     let mut scene = Scene::new(1);
     scene.report("e0", 7, |_| {});
     scene.notice("e0", true, Duration::from_secs(60));
@@ -343,19 +345,19 @@
     assert_eq!(started(&scene.submit("r2", 1, false)), Some("e0"));
 }
 
-/// It is known at once that the rest outlasts their deadline.
+/// The backoff of all engines ends after the deadline of the request.
 #[test]
-fn what_waits_is_refused_when_all_engines_rest_for_too_long() {
+fn queued_requests_are_refused_when_all_engines_back_off_past_their_deadline() {
     let mut scene = Scene::new(1);
     scene.report("e0", 1, |r| r.waiting = 2);
     assert!(scene.submit("waits", 1, false).is_empty());
     scene.notice("e0", false, Duration::from_secs(4));
     assert_eq!(
-        refused(&scene.tell(Event::Tick)),
+        refused(&scene.handle(Event::Tick)),
         None,
-        "it may still be in time"
+        "the backoff ends before the deadline"
     );
     scene.notice("e0", false, Duration::from_secs(60));
-    let commands = scene.tell(Event::Tick);
+    let commands = scene.handle(Event::Tick);
     assert_eq!(refused(&commands), Some(RefusalKind::Resting));
 }
--- a/crates/core/tests/session.rs
+++ b/crates/core/tests/session.rs
@@ -1,4 +1,4 @@
-//! A caller sees each position once, in order, from one generation only.
+//! A caller receives each position once, in order, and from one generation only.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -42,22 +42,32 @@
 #[test_case("g", 0, 3, TokenVerdict::Foreign; "older attempt")]
 #[test_case("g", 2, 3, TokenVerdict::Foreign; "attempt not begun")]
 #[test_case("h", 1, 3, TokenVerdict::Foreign; "other generation")]
-fn a_token_after_three(generation: &str, attempt: u32, position: u32, expected: TokenVerdict) {
+fn verdict_on_a_token_after_three(
+    generation: &str,
+    attempt: u32,
+    position: u32,
+    expected: TokenVerdict,
+) {
     let mut session = session_after(3);
     let verdict = session.token(generation, attempt, position, "x", START);
     assert_eq!(verdict, expected);
 }
 
-#[test_case("g", 1, 3, EndVerdict::Whole; "all delivered")]
+#[test_case("g", 1, 3, EndVerdict::Complete; "all delivered")]
 #[test_case("g", 1, 4, EndVerdict::Gap; "a token is missing")]
 #[test_case("g", 0, 3, EndVerdict::Foreign; "older attempt")]
 #[test_case("h", 1, 3, EndVerdict::Foreign; "other generation")]
-fn an_end_after_three(generation: &str, attempt: u32, total: u32, expected: EndVerdict) {
+fn verdict_on_an_end_mark_after_three(
+    generation: &str,
+    attempt: u32,
+    total: u32,
+    expected: EndVerdict,
+) {
     assert_eq!(session_after(3).end(generation, attempt, total), expected);
 }
 
 #[test]
-fn a_caller_that_comes_back_gets_only_what_it_lacks() {
+fn a_reconnecting_caller_receives_only_the_missing_tokens() {
     let cursor = session_after(3).cursor();
     let mut session = Session::resumed(&cursor, Vec::new(), START).unwrap();
     assert!(!session.can_continue());
@@ -74,7 +84,7 @@
 }
 
 #[test]
-fn a_text_read_again_that_differs_is_noticed() {
+fn a_text_that_differs_when_read_again_is_detected() {
     let cursor = session_after(3).cursor();
     let mut session = Session::resumed(&cursor, Vec::new(), START).unwrap();
     session.token("g", 1, 0, "other", START);
@@ -85,9 +95,9 @@
     );
 }
 
-#[test_case(vec![token(0), token(1), token(2)], true; "those delivered")]
+#[test_case(vec![token(0), token(1), token(2)], true; "the delivered tokens")]
 #[test_case(vec![token(0), token(1)], false; "one too few")]
-#[test_case(vec![token(0), token(1), token(3)], false; "another")]
+#[test_case(vec![token(0), token(1), token(3)], false; "a different token")]
 fn received_tokens_are_checked(received: Vec<String>, accepted: bool) {
     let cursor = session_after(3).cursor();
     assert_eq!(
@@ -96,7 +106,7 @@
     );
 }
 
-/// What can come from engines in any order.
+/// Messages that engines can send in any order.
 #[derive(Clone, Debug)]
 enum Arrival {
     Token { attempt: u32, position: u32 },
@@ -116,9 +126,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Late, doubled, crossed and skipped tokens of any attempt.
+    /// Delayed, duplicated, reordered and skipped tokens of any attempt.
     #[test]
-    fn delivered_positions_are_0_1_2_and_so_on(arrivals in arrivals()) {
+    fn positions_are_delivered_consecutively_from_0(arrivals in arrivals()) {
         let mut session = Session::new("g".to_owned(), START);
         let mut delivered = Vec::new();
         for arrival in arrivals {
@@ -142,23 +152,23 @@
         prop_assert_eq!(session.cursor().digest, TextDigest::of(&expected));
     }
 
-    /// Any single changed character makes a cursor unusable.
+    /// A change of any single character invalidates a cursor.
     #[test]
-    fn a_changed_cursor_is_refused(place in 0_usize..60, to in "[a-z0-9~]") {
+    fn a_modified_cursor_is_rejected(index in 0_usize..60, to in "[a-z0-9~]") {
         let keyring = Keyring::from_hex(&["07".repeat(32)]).unwrap();
         let text = session_after(3).cursor().encode("owner", &keyring);
-        let place = place % text.len();
+        let index = index % text.len();
         let mut changed = text.clone();
-        changed.replace_range(place..=place, &to);
+        changed.replace_range(index..=index, &to);
         let decoded = Cursor::decode(&changed, "owner", &keyring);
         prop_assert_eq!(decoded.is_ok(), changed == text);
         prop_assert!(Cursor::decode(&text, "another owner", &keyring).is_err());
     }
 }
 
-#[test_case(&[10, 10, 10, 10], 500; "steady and quick: the shortest bound")]
-#[test_case(&[60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60], 1_100; "steady: twenty gaps")]
-#[test_case(&[900, 100, 900, 100, 900, 100], 5_000; "unsteady: the longest bound")]
+#[test_case(&[10, 10, 10, 10], 500; "steady and fast: the minimum bound")]
+#[test_case(&[60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60, 60], 1_100; "steady: 20 times the mean gap")]
+#[test_case(&[900, 100, 900, 100, 900, 100], 5_000; "unsteady: the maximum bound")]
 fn the_stall_bound_follows_the_pace(gaps_ms: &[u64], about_ms: u64) {
     let mut now = START;
     let mut bound = StallBound::new(now);
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -192,7 +192,7 @@
                 let _ = reply.send(self.control.may_reach(now, &backend));
             }
             ControlMessage::RunnersWait { service, reply } => {
-                let _ = reply.send(self.control.runners_wait(now, &service));
+                let _ = reply.send(self.control.time_until_runner(now, &service));
             }
             ControlMessage::Runners { service, reply } => {
                 let _ = reply.send(self.control.runners(now, &service));
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -152,7 +152,7 @@
 
 /// Nobody could run a call: tells when to come back, where that is known.
 async fn no_runner(app: &App, call: &ForwardedCall) -> CallAnswer {
-    match runners_wait(app, &call.service).await {
+    match time_until_runner(app, &call.service).await {
         Some(left) => all_wait(left),
         None => answer_at_end(Outcome::NotRun, CallEnd::NoRunner, None),
     }
@@ -168,7 +168,7 @@
     app.control.ask(ask).await.unwrap_or_default()
 }
 
-async fn runners_wait(app: &App, service: &str) -> Option<Duration> {
+async fn time_until_runner(app: &App, service: &str) -> Option<Duration> {
     let ask = |reply| ControlMessage::RunnersWait {
         service: service.to_owned(),
         reply,
