--- a/crates/core/src/completion/backend_registry.rs
+++ b/crates/core/src/completion/backend_registry.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Applies a configuration. The state of a server is kept if its name and address stay the same.
+    /// Applies a configuration. The state of a server is kept if its name and address stay the
+    /// same.
     pub fn adopt(&mut self, document: &Document) {
         let mut old = std::mem::take(&mut self.views);
         for server in &document.backend_servers {
--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -226,7 +226,7 @@
         self.tickets.issue(now, number, service)
     }
 
-    /// Spends a ticket whose signature was verified.
+    /// Spends a ticket whose signature was verified, if that is allowed.
     pub fn spend_ticket(&mut self, now: Now, ticket: &Ticket) -> SpendVerdict {
         self.tickets.spend(now, ticket)
     }
--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -47,7 +47,7 @@
     }
 
     /// Counts the demand for one request and returns whether the limit of the backend server
-    /// allows to send it now. An allowed request counts as sent.
+    /// allows sending it now. An allowed request counts as sent.
     pub(super) fn try_acquire(&mut self, now: Now, backend: &str) -> bool {
         let Some(server) = self.server_incarnation(backend) else {
             return true;
--- a/crates/core/src/completion/control/quarantine.rs
+++ b/crates/core/src/completion/control/quarantine.rs
@@ -105,7 +105,7 @@
     }
 
     /// Returns the suspicions that have changed since the last call.
-    pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_updates(&mut self) -> Vec<SuspicionNews> {
         self.suspicions.take_news()
     }
 }
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -118,7 +118,7 @@
         /// The load report.
         report: LoadReport,
     },
-    /// A backend server could not be reached for a report or a call.
+    /// A backend server could not be reached for a report or a call, which starts a backoff.
     BackendFailed {
         /// The backend server.
         backend: BackendId,
@@ -127,7 +127,7 @@
     NoticeReceived {
         /// The backend server.
         backend: BackendId,
-        /// The notice, with the time at which the request was sent.
+        /// The notice, with the time at which the answered request was sent.
         heard: HeardNotice,
     },
     /// A backend server answered a call.
--- a/crates/core/src/completion/router.rs
+++ b/crates/core/src/completion/router.rs
@@ -149,9 +149,9 @@
         let mut may_wait = false;
         self.turn += 1;
         let views: Vec<&BackendView> = backends.subset(&context.need.model).collect();
-        for (place, view) in views.iter().enumerate() {
-            let place = (place, views.len());
-            let verdict = self.evaluate(view, context, place);
+        for (position, view) in views.iter().enumerate() {
+            let position = (position, views.len());
+            let verdict = self.evaluate(view, context, position);
             let (score, reason) = match verdict {
                 Verdict::RuledOut(reason) => (None, reason.to_owned()),
                 Verdict::NoRoom(reason) => {
@@ -183,7 +183,7 @@
         &mut self,
         view: &BackendView,
         context: &RoutingContext<'_>,
-        place: (usize, usize),
+        position: (usize, usize),
     ) -> Verdict {
         if context.need.exclude.contains(&view.server.name) {
             return Verdict::RuledOut("failed this request before");
@@ -198,9 +198,9 @@
             return Verdict::RuledOut("on probation with a request under way");
         }
         match self.policy {
-            RoutingPolicy::RoundRobin => self.score_turn(place),
+            RoutingPolicy::RoundRobin => self.score_turn(position),
             RoutingPolicy::LeastOutstanding => score_outstanding(view),
-            RoutingPolicy::TwoChoices => self.score_two_choices(view, place),
+            RoutingPolicy::TwoChoices => self.score_two_choices(view, position),
             RoutingPolicy::Predictive => self.score(view, context, true),
             RoutingPolicy::PredictiveNoHold => self.score(view, context, false),
         }
@@ -260,8 +260,10 @@
             ("noise", self.random_fraction() * NOISE_SCORE),
         ];
         let score = parts.iter().map(|(_, part)| part).sum();
-        let named = parts.iter().filter(|(_, part)| part.abs() > 0.0005);
-        let reason: Vec<String> = named.map(|(n, part)| format!("{n} {part:+.3}")).collect();
+        let nonzero = parts.iter().filter(|(_, part)| part.abs() > 0.0005);
+        let reason: Vec<String> = nonzero
+            .map(|(name, part)| format!("{name} {part:+.3}"))
+            .collect();
         Verdict::Scored(score, reason.join(", "))
     }
 
--- a/crates/core/src/completion/ticket.rs
+++ b/crates/core/src/completion/ticket.rs
@@ -25,8 +25,7 @@
 /// Permission for one call, which the issuing process accepts at most once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Ticket {
-    /// Unique number of the ticket; also the idempotency key sent to the
-    /// backend server.
+    /// Unique number of the ticket. It is also sent to the backend server as the idempotency key.
     pub number: String,
     /// The only instance that may run the call.
     pub instance: InstanceId,
--- a/crates/core/src/gateway/gateway_control/suspecting.rs
+++ b/crates/core/src/gateway/gateway_control/suspecting.rs
@@ -131,7 +131,7 @@
     }
 
     /// The suspicions that have changed since this was asked last.
-    pub fn suspicion_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_updates(&mut self) -> Vec<SuspicionNews> {
         self.suspicions.take_news()
     }
 
--- a/crates/core/tests/call_history.rs
+++ b/crates/core/tests/call_history.rs
@@ -26,7 +26,7 @@
 const STEPS: usize = 120;
 const SEEDS: u64 = 2_000;
 const LIFETIME: Duration = Duration::from_secs(10);
-const TICKETS_AT_ONCE: usize = 100;
+const MAX_TICKETS: usize = 100;
 
 /// The implementation as built, and faulty variants that the checker must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -313,12 +313,7 @@
     fn new(number: usize, incarnation: u32) -> Self {
         let name = number.to_string();
         Instance {
-            ticket_store: TicketStore::new(
-                name,
-                incarnation.to_string(),
-                LIFETIME,
-                TICKETS_AT_ONCE,
-            ),
+            ticket_store: TicketStore::new(name, incarnation.to_string(), LIFETIME, MAX_TICKETS),
             incarnation,
             runs: Vec::new(),
             answers: HashMap::new(),
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -228,7 +228,7 @@
         for command in commands {
             self.carry_out(command);
         }
-        for news in self.control.suspicion_news() {
+        for news in self.control.suspicion_updates() {
             log_suspicion(&self.log, self.clock.now(), &news);
         }
     }
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -256,7 +256,7 @@
 
     /// Logs what has changed of the suspicions; the others should know it at once.
     pub(super) fn tell_suspicions(&mut self) {
-        let news = self.control.suspicion_news();
+        let news = self.control.suspicion_updates();
         if !news.is_empty() {
             self.news.notify_one();
         }
