--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -245,7 +245,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a refusal if a limit is reached or the request is quarantined.
+    /// Returns a refusal if the workspace is not configured, a limit is reached or the request is
+    /// quarantined.
     pub fn open_call(
         &mut self,
         now: Now,
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -118,7 +118,8 @@
         /// The load report.
         report: LoadReport,
     },
-    /// A backend server could not be reached for a report or a call, which starts a backoff.
+    /// A backend server could not be reached for a report or a call, which starts or extends its
+    /// backoff.
     BackendFailed {
         /// The backend server.
         backend: BackendId,
