--- a/crates/bench/src/bin/ending.rs
+++ b/crates/bench/src/bin/ending.rs
@@ -8,7 +8,7 @@
 
 use iristhread_core::Fingerprint;
 use iristhread_core::Now;
-use iristhread_core::ServerEnd;
+use iristhread_core::ServerCrash;
 use iristhread_core::Suspicions;
 use iristhread_core::Verdict;
 use rand_core::Rng;
@@ -158,7 +158,7 @@
                 let ends = self.counted.get(&content);
                 ends.is_some_and(|ends| ends.len() >= self.ends_needed)
             }
-            Way::Explains => self.book.verdict(fingerprint(content)) != Verdict::Free,
+            Way::Explains => self.book.verdict(fingerprint(content)) != Verdict::Allowed,
         }
     }
 
@@ -198,7 +198,7 @@
                 self.counted.entry(run.content).or_default().insert(life);
             }
             if self.way == Way::Explains && is_new {
-                let end = ServerEnd { life, at: self.now };
+                let end = ServerCrash { life, at: self.now };
                 self.book
                     .server_ended(self.now, fingerprint(run.content), None, end);
             }
--- a/crates/bench/src/bin/limits.rs
+++ b/crates/bench/src/bin/limits.rs
@@ -8,7 +8,7 @@
 use iristhread_bench::LimitTrial;
 use iristhread_bench::LimitWay;
 use iristhread_bench::Trouble;
-use iristhread_core::LimitTerms;
+use iristhread_core::LimitParameters;
 
 const SEEDS: u64 = 20;
 
@@ -36,14 +36,14 @@
 
 const THREADS: usize = 8;
 
-fn earned(window_ms: u64, handed_out: f64) -> LimitWay {
-    LimitWay::Earned(terms(window_ms, handed_out))
+fn earned(window_ms: u64, allocated_fraction: f64) -> LimitWay {
+    LimitWay::Earned(terms(window_ms, allocated_fraction))
 }
 
-fn terms(window_ms: u64, handed_out: f64) -> LimitTerms {
-    LimitTerms {
+fn terms(window_ms: u64, allocated_fraction: f64) -> LimitParameters {
+    LimitParameters {
         window: Duration::from_millis(window_ms),
-        handed_out,
+        allocated_fraction,
     }
 }
 
--- a/crates/bench/src/bin/rests.rs
+++ b/crates/bench/src/bin/rests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use iristhread_core::Now;
-use iristhread_core::ServerRest;
+use iristhread_core::ServerBackoff;
 use rand_core::Rng;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -142,7 +142,7 @@
     sick: usize,
     random: Pcg32,
     /// By instance and server.
-    rests: Vec<Vec<Option<ServerRest>>>,
+    rests: Vec<Vec<Option<ServerBackoff>>>,
     /// What others will hear, and when.
     told: Vec<(Now, usize, Now)>,
     running: Vec<Vec<Running>>,
@@ -215,7 +215,7 @@
             self.running[server] = on;
             for running in over {
                 let rest = &mut self.rests[running.instance][server];
-                rest.take_if(|rest| rest.is_over_by(&running.call));
+                rest.take_if(|rest| rest.is_ended_by(&running.call));
             }
         }
     }
--- a/crates/bench/src/limit_fleet.rs
+++ b/crates/bench/src/limit_fleet.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
+use iristhread_core::LimitParameters;
 use iristhread_core::LimitShare;
-use iristhread_core::LimitTerms;
 use iristhread_core::Now;
 use iristhread_core::RequestRate;
 use rand_core::Rng;
@@ -44,9 +44,9 @@
     /// A token bucket with a part by demand, filled by chance at first.
     BucketByDemand,
     /// Each wish is granted by chance, by the limit's part of all wishes.
-    ByChance(LimitTerms),
+    ByChance(LimitParameters),
     /// Each wish earns that part of a send.
-    Earned(LimitTerms),
+    Earned(LimitParameters),
 }
 
 /// What happens after ten seconds.
@@ -142,10 +142,10 @@
 }
 
 impl LimitWay {
-    fn terms(self) -> LimitTerms {
+    fn terms(self) -> LimitParameters {
         match self {
             LimitWay::ByChance(terms) | LimitWay::Earned(terms) => terms,
-            _ => LimitTerms::default(),
+            _ => LimitParameters::default(),
         }
     }
 }
@@ -194,7 +194,7 @@
         let mut wanted = self.trial.wanted_at(self.now) * STEP.as_secs_f64();
         while draw(&mut self.random) < wanted.min(1.0) {
             wanted -= 1.0;
-            self.wish();
+            self.request_grant();
         }
     }
 
@@ -245,7 +245,7 @@
     }
 
     /// A request of one of those who ask wants the server.
-    fn wish(&mut self) {
+    fn request_grant(&mut self) {
         let asking = self.trial.instances.div_ceil(self.trial.asking_one_in);
         let place = (draw(&mut self.random) * asking as f64) as usize;
         let number = place * self.trial.asking_one_in % self.trial.instances;
@@ -259,16 +259,16 @@
 
     fn is_granted(&mut self, number: usize) -> bool {
         let now = self.now;
-        let limit = RequestRate::of_per_s(self.trial.limit_per_s);
+        let limit = RequestRate::from_per_s(self.trial.limit_per_s);
         let told = &self.told[number % HALVES];
         let others = told.iter().sum::<f64>() - told[number];
-        let others = RequestRate::of_per_s(others);
+        let others = RequestRate::from_per_s(others);
         let chance = draw(&mut self.random);
         let count = self.trial.instances as f64;
         let instance = &mut self.instances[number];
         let part = instance.share.part(now, limit, others);
         let own = instance.share.wanted(now).per_s();
-        let granted = instance.share.wish(now, limit, others);
+        let granted = instance.share.request_grant(now, limit, others);
         let share = match self.way {
             LimitWay::Earned(_) => return granted,
             LimitWay::ByChance(_) => return chance < part,
--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::BackendServer;
-use crate::FailurePause;
+use crate::FailureBackoff;
 use crate::LengthEstimator;
 use crate::LoadReport;
 use crate::MemoryDemand;
@@ -14,7 +14,7 @@
 use crate::RequestId;
 use crate::RoutingContext;
 use crate::ServerNotice;
-use crate::ServerRest;
+use crate::ServerBackoff;
 
 /// Assumed age of a load report when it arrives.
 const REPORT_LAG: Duration = Duration::from_millis(300);
@@ -33,9 +33,9 @@
     own: MemoryDemand,
     started_since: MemoryDemand,
     sessions: HashMap<RequestId, OwnSession>,
-    failure_backoff: FailurePause,
+    failure_backoff: FailureBackoff,
     /// Backoff that the server asked for, until it accepts work again.
-    backoff: Option<ServerRest>,
+    backoff: Option<ServerBackoff>,
     /// Whether a server notice said that the server is draining.
     notice_draining: bool,
 }
@@ -51,7 +51,7 @@
             own: MemoryDemand::default(),
             started_since: MemoryDemand::default(),
             sessions: HashMap::new(),
-            failure_backoff: FailurePause::default(),
+            failure_backoff: FailureBackoff::default(),
             backoff: None,
             notice_draining: false,
         }
@@ -126,7 +126,7 @@
         generated: u32,
         estimator: &LengthEstimator,
     ) {
-        self.backoff.take_if(|backoff| backoff.is_over_by(request));
+        self.backoff.take_if(|backoff| backoff.is_ended_by(request));
         if let Some(session) = self.sessions.get_mut(request) {
             self.own.add(&session.counted, -1.0);
             session.generated = generated;
@@ -211,7 +211,7 @@
         if !self.backoff_allows_send(now) {
             return Some("resting at its own request");
         }
-        if self.failure_backoff.is_paused(now) {
+        if self.failure_backoff.is_backing_off(now) {
             return Some("paused after failures");
         }
         None
--- a/crates/core/src/completion/control.rs
+++ b/crates/core/src/completion/control.rs
@@ -22,12 +22,12 @@
 use crate::InstanceId;
 use crate::LengthEstimator;
 use crate::Now;
-use crate::ProvenContents;
-use crate::ReaderRota;
+use crate::KnownGoodRequests;
+use crate::ReaderRanking;
 use crate::Refusal;
 use crate::RequestId;
 use crate::RetryBudget;
-use crate::Roster;
+use crate::InstanceList;
 use crate::Router;
 use crate::RoutingPolicy;
 use crate::ServerLimits;
@@ -86,8 +86,8 @@
 pub struct Control {
     settings: ControlSettings,
     config: ConfigOrder,
-    roster: Roster,
-    reader_rotation: ReaderRota,
+    instance_list: InstanceList,
+    reader_rotation: ReaderRanking,
     reads_platform: bool,
     next_zone_exchange: Now,
     next_any_zone_exchange: Now,
@@ -106,7 +106,7 @@
     timeline: Timeline,
     random: Pcg32,
     suspicions: Suspicions,
-    known_good: ProvenContents,
+    known_good: KnownGoodRequests,
     /// Open requests that have run long enough to count as known-good.
     known_good_requests: HashSet<RequestId>,
     limits: ServerLimits,
@@ -119,8 +119,8 @@
         let zone = settings.zone.clone();
         Control {
             config: ConfigOrder::default(),
-            roster: Roster::default(),
-            reader_rotation: ReaderRota::new(instance.clone(), zone.clone()),
+            instance_list: InstanceList::default(),
+            reader_rotation: ReaderRanking::new(instance.clone(), zone.clone()),
             reads_platform: false,
             next_zone_exchange: Now::ZERO,
             next_any_zone_exchange: Now::ZERO,
@@ -144,7 +144,7 @@
             timeline: Timeline::new(instance, settings.timeline_records),
             random: Pcg32::seed_from_u64(settings.seed),
             suspicions: Suspicions::default(),
-            known_good: ProvenContents::default(),
+            known_good: KnownGoodRequests::default(),
             known_good_requests: HashSet::new(),
             limits: ServerLimits::default(),
             settings,
@@ -195,7 +195,7 @@
                 self.config.confirm(now.saturating_sub(ago), version);
             }
             Event::InstanceListOffered { version, entries } => {
-                self.roster.offer(version, entries);
+                self.instance_list.offer(version, entries);
             }
             Event::PeerMessageReceived {
                 instance,
@@ -204,7 +204,7 @@
                 time,
             } => {
                 self.clock.observe(wall_ms, time);
-                self.roster
+                self.instance_list
                     .hear(now, &instance, &incarnation, config_version);
             }
             Event::Note { request, event } => self.note(request, event),
@@ -277,8 +277,8 @@
     }
 
     /// Returns the instance list.
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn instance_list(&self) -> &InstanceList {
+        &self.instance_list
     }
 
     /// Returns the registry of backend servers.
--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -7,10 +7,10 @@
 use rand_core::Rng;
 
 use super::Control;
-use crate::HeardNotice;
-use crate::LimitTerms;
+use crate::ObservedNotice;
+use crate::LimitParameters;
 use crate::LoadReport;
-use crate::NamedLimit;
+use crate::DeclaredLimit;
 use crate::Now;
 use crate::RequestRate;
 use crate::ServerLife;
@@ -28,18 +28,18 @@
 
 impl Control {
     /// Applies what an answer states about the limit of its server.
-    pub(super) fn observe_limit_notice(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
+    pub(super) fn observe_limit_notice(&mut self, now: Now, backend: &str, heard: &ObservedNotice) {
         let limit = heard.notice.limit;
-        if limit == NamedLimit::NotTold && !heard.tells_limits {
+        if limit == DeclaredLimit::Absent && !heard.reports_limits {
             return;
         }
         let Some(server) = self.server_incarnation(backend) else {
             return;
         };
         let window = self.demand_window();
-        self.limits.set_terms(LimitTerms {
+        self.limits.set_terms(LimitParameters {
             window,
-            ..LimitTerms::default()
+            ..LimitParameters::default()
         });
         let earned = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         self.limits
@@ -56,7 +56,7 @@
             return true;
         }
         let others = self.demand_of_others(now, &server);
-        self.limits.wish(now, server.life, others)
+        self.limits.request_grant(now, server.life, others)
     }
 
     /// Returns the time until this instance may send to a limited server; `None` if it may send
@@ -64,7 +64,7 @@
     pub(super) fn time_until_allowed(&self, now: Now, backend: &str) -> Option<Duration> {
         let server = self.server_incarnation(backend)?;
         let others = self.demand_of_others(now, &server);
-        self.limits.turn_in(now, server.life, others)
+        self.limits.time_until_turn(now, server.life, others)
     }
 
     /// Applies a load report. A report whose sequence starts again belongs to a new incarnation,
@@ -82,7 +82,7 @@
     /// Estimates the demand of the other instances. One request is added to the own demand that was
     /// counted, because rare requests fall out of the window before the next one.
     fn demand_of_others(&self, now: Now, server: &ServerLife) -> RequestRate {
-        let one = RequestRate::of_per_s(1.0 / self.demand_window().as_secs_f64());
+        let one = RequestRate::from_per_s(1.0 / self.demand_window().as_secs_f64());
         let own = self.limits.wanted(now, server.life).plus(one);
         own.times(self.instances().saturating_sub(1))
     }
@@ -93,7 +93,7 @@
     }
 
     fn instances(&self) -> u32 {
-        u32::try_from(self.roster.entries().count()).unwrap_or(u32::MAX)
+        u32::try_from(self.instance_list.entries().count()).unwrap_or(u32::MAX)
     }
 
     /// Identifies a server by its name and address: a server at another address is a different one.
--- a/crates/core/src/completion/control/membership.rs
+++ b/crates/core/src/completion/control/membership.rs
@@ -94,7 +94,7 @@
         let confirmed_at = self.config.confirmed_at().unwrap_or(Now::ZERO);
         let age = now.saturating_sub(confirmed_at);
         let has_no_config = self.config.version() == 0;
-        let reads = has_no_config || self.reader_rotation.reads(&self.roster, age);
+        let reads = has_no_config || self.reader_rotation.reads(&self.instance_list, age);
         if reads != self.reads_platform {
             self.reads_platform = reads;
             commands.push(Command::ReadPlatform { reads });
@@ -111,7 +111,7 @@
     }
 
     fn exchange_with(&mut self, instance: &str, commands: &mut Vec<Command>) {
-        let Some(entry) = self.roster.entry(instance) else {
+        let Some(entry) = self.instance_list.entry(instance) else {
             return;
         };
         let command = Command::ExchangeWith {
@@ -134,7 +134,7 @@
         let is_peer = |entry: &&InstanceEntry| {
             entry.instance != own && zone.is_none_or(|zone| entry.availability_zone == zone)
         };
-        let peers = self.roster.entries().filter(is_peer);
+        let peers = self.instance_list.entries().filter(is_peer);
         let mut peers: Vec<String> = peers.map(|entry| entry.instance.clone()).collect();
         for _ in 0..count.min(peers.len()) {
             let draw = self.random.next_u32() as usize % peers.len();
--- a/crates/core/src/completion/control/notices.rs
+++ b/crates/core/src/completion/control/notices.rs
@@ -7,14 +7,14 @@
 use crate::BackendId;
 use crate::BackendView;
 use crate::Command;
-use crate::HeardNotice;
+use crate::ObservedNotice;
 use crate::Now;
 use crate::Refusal;
 use crate::RequestId;
 
 impl Control {
     /// Applies the server notice of an answer.
-    pub(super) fn observe_notice(&mut self, now: Now, backend: &str, heard: &HeardNotice) {
+    pub(super) fn observe_notice(&mut self, now: Now, backend: &str, heard: &ObservedNotice) {
         if let Some(view) = self.backends.view_mut(backend) {
             view.observe_notice(now, &heard.notice);
         }
--- a/crates/core/src/completion/control/placement.rs
+++ b/crates/core/src/completion/control/placement.rs
@@ -168,8 +168,8 @@
         let own_zone = self.settings.zone.as_str();
         let is_local = |view: &BackendView| view.server.availability_zone == own_zone;
         let instances = match self.backends.subset(model).all(is_local) {
-            true => self.roster.live_in(own_zone).len(),
-            false => self.roster.entries().count(),
+            true => self.instance_list.live_in(own_zone).len(),
+            false => self.instance_list.entries().count(),
         };
         let sharers = u32::try_from(instances).unwrap_or(MAX_SHARERS);
         sharers.clamp(1, MAX_SHARERS)
--- a/crates/core/src/completion/control/quarantine.rs
+++ b/crates/core/src/completion/control/quarantine.rs
@@ -6,14 +6,14 @@
 use crate::BackendId;
 use crate::Command;
 use crate::Fingerprint;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
-use crate::RAN_WELL_AFTER;
+use crate::KNOWN_GOOD_AFTER;
 use crate::Refusal;
 use crate::RequestId;
-use crate::ServerEnd;
-use crate::SuspicionNews;
-use crate::ToldSuspect;
+use crate::ServerCrash;
+use crate::SuspicionUpdate;
+use crate::AdvertisedSuspect;
 use crate::Verdict;
 use crate::membership::rendezvous::weight;
 
@@ -33,28 +33,28 @@
         ran_for: Duration,
         commands: &mut Vec<Command>,
     ) {
-        if ran_for >= RAN_WELL_AFTER {
+        if ran_for >= KNOWN_GOOD_AFTER {
             return;
         }
-        let end = ServerEnd {
+        let end = ServerCrash {
             life: self.incarnation_of(backend),
             at: now,
         };
-        let proven_at = self.known_good.proven_at(fingerprint);
+        let known_good_at = self.known_good.known_good_at(fingerprint);
         self.suspicions
-            .server_ended(now, fingerprint, proven_at, end);
+            .server_ended(now, fingerprint, known_good_at, end);
         self.exchange_with_peers(commands);
     }
 
-    fn incarnation_of(&self, backend: &BackendId) -> LifeId {
+    fn incarnation_of(&self, backend: &BackendId) -> IncarnationId {
         weight(backend, &(self.wall_ms / SAME_CRASH_WINDOW_MS).to_string())
     }
 
     /// Applies the suspects that a peer advertises.
-    pub(super) fn receive_suspects(&mut self, now: Now, suspects: &[ToldSuspect]) {
+    pub(super) fn receive_suspects(&mut self, now: Now, suspects: &[AdvertisedSuspect]) {
         for suspect in suspects {
-            let proven_at = self.known_good.proven_at(suspect.fingerprint);
-            self.suspicions.hear(now, proven_at, suspect);
+            let known_good_at = self.known_good.known_good_at(suspect.fingerprint);
+            self.suspicions.hear(now, known_good_at, suspect);
         }
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Records progress of a request, which becomes known-good once it has run for
-    /// [`RAN_WELL_AFTER`].
+    /// [`KNOWN_GOOD_AFTER`].
     pub(super) fn observe_progress(&mut self, now: Now, request: &RequestId) {
         let Some(running) = self.running.get_mut(request) else {
             return;
@@ -73,7 +73,7 @@
         let first_progress_at = *running.first_progress_at.get_or_insert(now);
         let fingerprint = running.fingerprint;
         let is_new = !self.known_good_requests.contains(request);
-        if is_new && now.saturating_sub(first_progress_at) >= RAN_WELL_AFTER {
+        if is_new && now.saturating_sub(first_progress_at) >= KNOWN_GOOD_AFTER {
             self.known_good_requests.insert(request.clone());
             self.record_success(now, fingerprint);
         }
@@ -100,12 +100,12 @@
     }
 
     /// Returns the suspects to advertise to a peer.
-    pub fn known_suspects(&self, now: Now) -> Vec<ToldSuspect> {
+    pub fn known_suspects(&self, now: Now) -> Vec<AdvertisedSuspect> {
         self.suspicions.known(now)
     }
 
     /// Returns the suspicions that have changed since the last call.
-    pub fn suspicion_updates(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_updates(&mut self) -> Vec<SuspicionUpdate> {
         self.suspicions.take_news()
     }
 }
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -8,7 +8,7 @@
 use crate::ConfigVersion;
 use crate::Document;
 use crate::Fingerprint;
-use crate::HeardNotice;
+use crate::ObservedNotice;
 use crate::HybridTime;
 use crate::Incarnation;
 use crate::InstanceEntry;
@@ -17,7 +17,7 @@
 use crate::Now;
 use crate::RequestId;
 use crate::TimelineEvent;
-use crate::ToldSuspect;
+use crate::AdvertisedSuspect;
 use crate::WorkspaceId;
 
 /// Request for an engine, for the first or a further attempt.
@@ -102,7 +102,7 @@
     /// A peer advertised the requests that it suspects of crashing backend servers.
     SuspectsReceived {
         /// The suspected requests.
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<AdvertisedSuspect>,
     },
     /// The request has ended for its caller.
     Closed {
@@ -129,7 +129,7 @@
         /// The backend server.
         backend: BackendId,
         /// The notice, with the time at which the answered request was sent.
-        heard: HeardNotice,
+        heard: ObservedNotice,
     },
     /// A backend server answered a call.
     BackendAnswered {
--- a/crates/core/src/configuration/config_lag.rs
+++ b/crates/core/src/configuration/config_lag.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::Now;
-use crate::ReadingWaits;
+use crate::ReadTiming;
 
 /// Since when an instance is behind its peers, while it is.
 #[derive(Clone, Copy, Debug, Default)]
@@ -13,7 +13,7 @@
 
 /// What is new about it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LagNews {
+pub enum LagUpdate {
     /// A peer has a newer configuration.
     Began,
     /// No peer has one any more, after this time.
@@ -22,23 +22,23 @@
 
 impl ConfigLag {
     /// Notes whether a live peer has a newer configuration.
-    pub fn note(&mut self, now: Now, is_behind: bool) -> Option<LagNews> {
+    pub fn note(&mut self, now: Now, is_behind: bool) -> Option<LagUpdate> {
         match (self.since, is_behind) {
             (None, true) => {
                 self.since = Some(now);
-                Some(LagNews::Began)
+                Some(LagUpdate::Began)
             }
             (Some(since), false) => {
                 self.since = None;
-                Some(LagNews::Ended(now.saturating_sub(since)))
+                Some(LagUpdate::Ended(now.saturating_sub(since)))
             }
             _ => None,
         }
     }
 
     /// Whether the peers have had time enough to hand it over.
-    pub fn is_too_long(&self, now: Now, waits: &ReadingWaits) -> bool {
+    pub fn is_overdue(&self, now: Now, waits: &ReadTiming) -> bool {
         let time = self.since.map(|since| now.saturating_sub(since));
-        time.is_some_and(|time| time >= waits.behind_at_most())
+        time.is_some_and(|time| time >= waits.max_config_lag())
     }
 }
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -2,12 +2,12 @@
 //! instance is with them.
 
 pub(crate) mod known_versions;
-pub(crate) mod reader_rota;
-pub mod reading_waits;
+pub(crate) mod reader_ranking;
+pub mod read_timing;
 pub(crate) mod replica;
 pub(crate) mod replica_list;
 pub(crate) mod replica_view;
 pub(crate) mod revision;
-pub(crate) mod roster;
+pub(crate) mod instance_list;
 pub(crate) mod watch_cycle;
 pub(crate) mod zone_evacuations;
--- a/crates/core/src/directory/reader_rota.rs
+++ b/crates/core/src/directory/reader_rota.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::InstanceId;
-use crate::Roster;
+use crate::InstanceList;
 use crate::ZoneId;
 use crate::rendezvous_rank;
 
@@ -25,15 +25,15 @@
 /// reads. Where rosters differ, a few readers too many cost reads, never
 /// correctness. See `docs/design/0004-configuration.md`.
 #[derive(Debug)]
-pub struct ReaderRota {
+pub struct ReaderRanking {
     instance: InstanceId,
     zone: ZoneId,
 }
 
-impl ReaderRota {
+impl ReaderRanking {
     /// Creates the rota of one instance.
     pub fn new(instance: InstanceId, zone: ZoneId) -> Self {
-        ReaderRota { instance, zone }
+        ReaderRanking { instance, zone }
     }
 
     /// Whether this instance reads the platform now; `age` is the time since
@@ -41,8 +41,8 @@
     ///
     /// An instance that is not on the list, or has none, reads: it has nobody
     /// to ask.
-    pub fn reads(&self, roster: &Roster, age: Duration) -> bool {
-        let live = roster.live_in(&self.zone);
+    pub fn reads(&self, instance_list: &InstanceList, age: Duration) -> bool {
+        let live = instance_list.live_in(&self.zone);
         let names = live.iter().map(|entry| entry.instance.as_str());
         let rank = rendezvous_rank(&self.zone, names);
         let place = rank.iter().position(|name| *name == self.instance);
--- a/crates/core/src/directory/replica.rs
+++ b/crates/core/src/directory/replica.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use crate::BackendId;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::ZoneId;
 use crate::membership::rendezvous::weight;
 
@@ -41,7 +41,7 @@
     /// Its name.
     pub id: BackendId,
     /// Which life.
-    pub life: LifeId,
+    pub life: IncarnationId,
 }
 
 impl Replica {
@@ -54,7 +54,7 @@
     }
 
     /// Identifies this life of it.
-    pub fn life(&self) -> LifeId {
+    pub fn life(&self) -> IncarnationId {
         let born = self.born_ms.map_or(String::new(), |born| born.to_string());
         weight(&self.id, &born)
     }
--- a/crates/core/src/directory/replica_list.rs
+++ b/crates/core/src/directory/replica_list.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 
 use crate::BackendId;
-use crate::LeavingMarks;
-use crate::LifeId;
+use crate::DrainingMarks;
+use crate::IncarnationId;
 use crate::Now;
 use crate::Replica;
 use crate::Revision;
@@ -19,11 +19,11 @@
 mod copies;
 mod telling;
 
-pub use telling::ToldList;
+pub use telling::AdvertisedList;
 
 /// How long after an outage of the platform a missing entry still counts as
 /// present: a live server writes its entry again within two heartbeats.
-const LAPSE_GRACE: Duration = Duration::from_secs(2);
+const EXPIRY_GRACE: Duration = Duration::from_secs(2);
 
 /// One change of the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     Leaving,
     /// Its entry was lost while the platform was away; it counts as serving
     /// for a short time.
-    Lapsed,
+    Expired,
     /// Its entry was removed; it finishes what it has.
     Removed,
 }
@@ -65,15 +65,15 @@
 struct Line {
     replica: Replica,
     /// Identifies the life that is listed.
-    life: LifeId,
+    life: IncarnationId,
     /// Revision by which it was as it is.
     revision: Revision,
     /// When a lapsed entry stops counting.
-    lapses_at: Option<Now>,
+    expires_at: Option<Now>,
     /// Until when it is cold, as it said itself.
     cold_until: Now,
     /// Until when only an old copy of the directory says that it is there.
-    unproven_until: Now,
+    unconfirmed_until: Now,
     /// An earlier life that a copy of the directory lists under the id: it stands again if
     /// this one doesn't write itself in time.
     earlier: Option<Replica>,
@@ -93,9 +93,9 @@
     /// it was within them, which shows in no line.
     skipped: VecDeque<(Revision, Revision)>,
     /// Lives that said themselves that they leave.
-    said_leaving: LeavingMarks,
+    said_leaving: DrainingMarks,
     /// Lives that were listed and are no more.
-    gone: LeavingMarks,
+    gone: DrainingMarks,
     /// Ids whose entry is there and can't be used.
     unusable: BTreeSet<BackendId>,
     /// Replicas that are new here or have begun another life.
@@ -130,7 +130,7 @@
         let is_copy = revision.era > self.revision.era && !self.revision.is_none();
         self.revision = revision;
         let (replicas, doubtful) = match is_copy {
-            true => self.sift(replicas),
+            true => self.split_gone(replicas),
             false => (replicas, Vec::new()),
         };
         let missing: Vec<BackendId> = self
@@ -146,13 +146,13 @@
             self.insert(now, replica);
         }
         for replica in doubtful {
-            self.insert_doubtful(now, replica);
+            self.insert_unconfirmed(now, replica);
         }
         true
     }
 
     /// Takes the list of another instance.
-    pub fn hear(&mut self, now: Now, told: ToldList) -> bool {
+    pub fn hear(&mut self, now: Now, told: AdvertisedList) -> bool {
         if let Some(ago_ms) = told.outage_ended_ms {
             self.outage_ended(now.saturating_sub(Duration::from_millis(ago_ms)));
         }
@@ -216,7 +216,7 @@
     }
 
     /// Replicas that are new here or have begun another life since this was asked last.
-    pub fn take_begun(&mut self) -> Vec<BackendId> {
+    pub fn take_started(&mut self) -> Vec<BackendId> {
         std::mem::take(&mut self.begun)
     }
 
@@ -224,47 +224,47 @@
     /// an outage that has just ended.
     pub fn is_settling(&self, now: Now) -> bool {
         let ago = self.outage_ended.map(|at| now.saturating_sub(at));
-        ago.is_some_and(|ago| ago < LAPSE_GRACE)
+        ago.is_some_and(|ago| ago < EXPIRY_GRACE)
     }
 
     /// Notes that a replica itself says that it leaves, in a life that is listed or not.
     /// Returns whether that changes what is known of a listed one.
-    pub fn says_it_leaves(&mut self, now: Now, server: &ServerLife) -> bool {
+    pub fn mark_draining(&mut self, now: Now, server: &ServerLife) -> bool {
         let line = self.lines.get(&server.id);
         let is_listed = line.is_some_and(|line| line.life == server.life);
         let takes_work = matches!(
             self.state(&server.id),
-            ListedState::Serving | ListedState::Lapsed
+            ListedState::Serving | ListedState::Expired
         );
         let is_news = self.said_leaving.mark(now, server.life, is_listed);
         is_news && is_listed && takes_work
     }
 
     /// Lives that said that they leave.
-    pub fn lives_that_leave(&self, now: Now) -> BTreeSet<LifeId> {
+    pub fn draining_incarnations(&self, now: Now) -> BTreeSet<IncarnationId> {
         self.said_leaving.lives(now)
     }
 
     /// Rises when a life says that it leaves.
-    pub fn leaving_version(&self) -> u64 {
+    pub fn draining_version(&self) -> u64 {
         self.said_leaving.version()
     }
 
     /// Listed lives.
-    pub fn lives(&self) -> BTreeSet<LifeId> {
+    pub fn lives(&self) -> BTreeSet<IncarnationId> {
         self.lines.values().map(|line| line.life).collect()
     }
 
     /// Drops entries whose grace is over; returns them.
     pub fn expire(&mut self, now: Now) -> Vec<BackendId> {
-        let is_over = |line: &Line| line.lapses_at.is_some_and(|at| now >= at);
+        let is_over = |line: &Line| line.expires_at.is_some_and(|at| now >= at);
         let over = self.lines.iter().filter(|(_, line)| is_over(line));
         let ids: Vec<BackendId> = over.map(|(id, _)| id.clone()).collect();
         for id in &ids {
             let earlier = self.lines.get_mut(id).and_then(|line| line.earlier.take());
             self.drop_line(now, id);
             if let Some(earlier) = earlier {
-                self.insert_doubtful(now, earlier);
+                self.insert_unconfirmed(now, earlier);
             }
         }
         self.said_leaving.expire(now);
@@ -277,7 +277,7 @@
         match self.lines.get(id) {
             None => ListedState::Removed,
             Some(line) if self.leaves(line) => ListedState::Leaving,
-            Some(line) if line.lapses_at.is_some() => ListedState::Lapsed,
+            Some(line) if line.expires_at.is_some() => ListedState::Expired,
             Some(_) => ListedState::Serving,
         }
     }
@@ -290,8 +290,8 @@
     /// The replicas that take new work now.
     pub fn serving(&self, now: Now) -> impl Iterator<Item = &Replica> {
         let counts = move |line: &&Line| {
-            let is_over = line.lapses_at.is_some_and(|at| now >= at);
-            let is_proven = now >= line.unproven_until;
+            let is_over = line.expires_at.is_some_and(|at| now >= at);
+            let is_proven = now >= line.unconfirmed_until;
             !self.leaves(line) && !is_over && is_proven
         };
         self.lines.values().filter(counts).map(|line| &line.replica)
@@ -340,22 +340,22 @@
         self.mark_listed(now, life, &replica);
         let known = self.lines.get(&replica.id);
         let known = known.filter(|line| line.replica == replica);
-        let as_before = known.filter(|line| line.lapses_at.is_none());
+        let as_before = known.filter(|line| line.expires_at.is_none());
         let line = Line {
             revision: as_before.map_or(self.revision, |line| line.revision),
             cold_until: known.map_or(now + replica.warm_up, |line| line.cold_until),
-            unproven_until: Now::ZERO,
+            unconfirmed_until: Now::ZERO,
             earlier: None,
             life,
             replica,
-            lapses_at: None,
+            expires_at: None,
         };
         self.unusable.remove(&line.replica.id);
         self.lines.insert(line.replica.id.clone(), line);
     }
 
     /// Where lives aren't told apart, an entry that is listed anew is another life.
-    fn mark_listed(&mut self, now: Now, life: LifeId, replica: &Replica) {
+    fn mark_listed(&mut self, now: Now, life: IncarnationId, replica: &Replica) {
         let tells_lives = replica.born_ms.is_some();
         if !tells_lives && !self.lines.contains_key(&replica.id) {
             self.said_leaving.forget(life);
@@ -378,7 +378,7 @@
     }
 
     fn remove(&mut self, now: Now, id: &str) {
-        let grace_ends = self.outage_ended.map(|ended| ended + LAPSE_GRACE);
+        let grace_ends = self.outage_ended.map(|ended| ended + EXPIRY_GRACE);
         self.unusable.remove(id);
         // Also of one that came and went unseen: others may have seen it come.
         self.note_removal(id);
@@ -386,7 +386,7 @@
         let lapses = grace_ends.filter(|ends| now < *ends && !is_leaving);
         match (lapses, self.lines.get_mut(id)) {
             (Some(ends), Some(line)) => {
-                line.lapses_at = Some(ends);
+                line.expires_at = Some(ends);
                 line.earlier = None;
             }
             (_, Some(_)) => self.drop_line(now, id),
--- a/crates/core/src/directory/replica_list/copies.rs
+++ b/crates/core/src/directory/replica_list/copies.rs
@@ -14,7 +14,7 @@
 impl ReplicaList {
     /// Parts what a copy of the directory brings back into what may be believed and lives
     /// that were seen to be gone since.
-    pub(super) fn sift(&self, replicas: Vec<Replica>) -> (Vec<Replica>, Vec<Replica>) {
+    pub(super) fn split_gone(&self, replicas: Vec<Replica>) -> (Vec<Replica>, Vec<Replica>) {
         let is_gone = |replica: &Replica| self.gone.has(replica.life());
         let (doubtful, there) = replicas.into_iter().partition(is_gone);
         (there, doubtful)
@@ -22,7 +22,7 @@
 
     /// Takes an entry that only a copy of the directory brings back. Another life that has
     /// followed under its id goes on, and writes itself again if it lives.
-    pub(super) fn insert_doubtful(&mut self, now: Now, replica: Replica) {
+    pub(super) fn insert_unconfirmed(&mut self, now: Now, replica: Replica) {
         if let Some(line) = self.lines.get_mut(&replica.id) {
             line.earlier = Some(replica);
             return;
@@ -30,18 +30,18 @@
         let id = replica.id.clone();
         self.insert(now, replica);
         if let Some(line) = self.lines.get_mut(&id) {
-            line.unproven_until = now + UNPROVEN_FOR;
+            line.unconfirmed_until = now + UNPROVEN_FOR;
         }
     }
 
     /// Replicas whose entry has lapsed.
     pub fn lapsed(&self) -> Vec<&str> {
-        self.ids_where(|line| line.lapses_at.is_some())
+        self.ids_where(|line| line.expires_at.is_some())
     }
 
     /// Replicas that only an old copy of the directory says are there.
-    pub fn unproven(&self, now: Now) -> Vec<&str> {
-        self.ids_where(|line| now < line.unproven_until)
+    pub fn unconfirmed(&self, now: Now) -> Vec<&str> {
+        self.ids_where(|line| now < line.unconfirmed_until)
     }
 
     fn ids_where(&self, holds: impl Fn(&Line) -> bool) -> Vec<&str> {
--- a/crates/core/src/directory/replica_list/telling.rs
+++ b/crates/core/src/directory/replica_list/telling.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::LAPSE_GRACE;
+use super::EXPIRY_GRACE;
 use super::Line;
 use super::ReplicaList;
 use crate::BackendId;
@@ -23,7 +23,7 @@
 /// changed since the other read it, and how long ago an outage ended, so that both draw
 /// the same conclusions from entries that are missing.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ToldList {
+pub struct AdvertisedList {
     /// Revision after which the changes came; none when the list is whole.
     pub above: Revision,
     /// Revision of the platform's list.
@@ -54,7 +54,7 @@
     /// The list for another instance that has it as it was at a revision: what has
     /// changed since, which is a few entries where the whole list is thousands; the whole
     /// list when that is not known.
-    pub fn told_since(&self, now: Now, above: impl Into<Revision>) -> ToldList {
+    pub fn delta_since(&self, now: Now, above: impl Into<Revision>) -> AdvertisedList {
         let above = above.into();
         let mut told = self.told(now);
         let is_within = |(from, to): &(Revision, Revision)| *from < above && above < *to;
@@ -70,7 +70,7 @@
         told.replicas.retain(has_changed);
         let is_listed = |id: &BackendId| {
             let line = self.lines.get(id);
-            line.is_some_and(|line| line.lapses_at.is_none())
+            line.is_some_and(|line| line.expires_at.is_none())
         };
         let removed = self.removed.iter();
         let removed = removed.filter(|(revision, id)| *revision > above && !is_listed(id));
@@ -79,16 +79,16 @@
     }
 
     /// The whole list for another instance.
-    pub fn told(&self, now: Now) -> ToldList {
+    pub fn told(&self, now: Now) -> AdvertisedList {
         let lines = self.lines.values();
-        let listed = lines.filter(|line| line.lapses_at.is_none());
+        let listed = lines.filter(|line| line.expires_at.is_none());
         let listed = listed.map(|line| line.told(now, self.leaves(line)));
         let lines = self.lines.values();
         // What the platform lists where a later life has not written itself yet.
         let earlier = lines.filter_map(|line| line.earlier.clone());
         let ago = self.outage_ended.map(|at| now.saturating_sub(at));
-        let ago = ago.filter(|ago| *ago < LAPSE_GRACE);
-        ToldList {
+        let ago = ago.filter(|ago| *ago < EXPIRY_GRACE);
+        AdvertisedList {
             above: Revision::NONE,
             revision: self.revision,
             removed: Vec::new(),
--- a/crates/core/src/directory/replica_view.rs
+++ b/crates/core/src/directory/replica_view.rs
@@ -6,12 +6,12 @@
 
 use crate::BackendId;
 use crate::EngineTraits;
-use crate::FailurePause;
-use crate::LifeId;
+use crate::FailureBackoff;
+use crate::IncarnationId;
 use crate::LoadShare;
 use crate::LoadShares;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Replica;
 use crate::RequestId;
 use crate::ZoneId;
@@ -66,13 +66,13 @@
     /// The replica that runs it.
     pub replica: BackendId,
     /// Its life when it was sent there; `None` where it wasn't listed.
-    pub life: Option<LifeId>,
+    pub life: Option<IncarnationId>,
     /// The engine that keeps a copy.
     pub backup: Option<BackendId>,
     /// The life of that engine when it was chosen.
-    pub backup_life: Option<LifeId>,
+    pub backup_life: Option<IncarnationId>,
     /// What it asked for.
-    pub ask: PlacementAsk,
+    pub ask: PlacementRequest,
     /// Tokens that came out.
     pub generated: u32,
     /// Whether its first event is there.
@@ -134,7 +134,7 @@
     /// Traits of the engines, if they are engines.
     pub engine: Option<&'a EngineTraits>,
     /// The request.
-    pub ask: &'a PlacementAsk,
+    pub ask: &'a PlacementRequest,
     /// How much longer the replica is cold.
     pub cold_for: Duration,
     /// A number from 0 to 1 for the random part.
@@ -147,7 +147,7 @@
 pub fn score(
     replica: &Replica,
     load: LoadShare,
-    pause: &FailurePause,
+    pause: &FailureBackoff,
     context: &ScoreContext<'_>,
 ) -> ReplicaScore {
     let slots = f64::from(replica.slots.max(1));
--- a/crates/core/src/directory/roster.rs
+++ b/crates/core/src/directory/roster.rs
@@ -47,13 +47,13 @@
 
 /// Instances as this process believes them to be.
 #[derive(Debug, Default)]
-pub struct Roster {
+pub struct InstanceList {
     version: u64,
     entries: BTreeMap<InstanceId, InstanceEntry>,
     heard: BTreeMap<InstanceId, Heard>,
 }
 
-impl Roster {
+impl InstanceList {
     /// Takes a list from the platform or a peer; an older one is ignored.
     pub fn offer(&mut self, version: u64, entries: Vec<InstanceEntry>) -> bool {
         if version <= self.version {
--- a/crates/core/src/directory/watch_cycle.rs
+++ b/crates/core/src/directory/watch_cycle.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::Now;
-use crate::directory::reading_waits::WATCH;
+use crate::directory::read_timing::WATCH;
 
 /// Pause between two watches that doesn't shorten the second.
 const PAUSE: Duration = Duration::from_millis(100);
--- a/crates/core/src/directory/zone_evacuations.rs
+++ b/crates/core/src/directory/zone_evacuations.rs
@@ -31,7 +31,7 @@
 
 /// All zones that are to be empty, as instances tell each other.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
-pub struct ToldEvacuations {
+pub struct AdvertisedEvacuations {
     /// Revision of the platform's directory at which exactly these were evacuated.
     pub revision: Revision,
     /// The zones, in order.
@@ -40,9 +40,9 @@
 
 /// What the directory says of evacuations.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum EvacuationNews {
+pub enum EvacuationUpdate {
     /// All of them.
-    Whole(ToldEvacuations),
+    Whole(AdvertisedEvacuations),
     /// What changed between two revisions.
     Changed {
         /// Revision before the changes.
@@ -69,10 +69,10 @@
 impl ZoneEvacuations {
     /// Takes news; returns what is different now, `None` when they are not newer than
     /// what is known or something before them is missing.
-    pub fn take(&mut self, now: Now, news: EvacuationNews) -> Option<Vec<EvacuationChange>> {
+    pub fn take(&mut self, now: Now, news: EvacuationUpdate) -> Option<Vec<EvacuationChange>> {
         match news {
-            EvacuationNews::Whole(told) => self.take_whole(now, told),
-            EvacuationNews::Changed {
+            EvacuationUpdate::Whole(told) => self.take_whole(now, told),
+            EvacuationUpdate::Changed {
                 after,
                 revision,
                 changes,
@@ -80,7 +80,7 @@
         }
     }
 
-    fn take_whole(&mut self, now: Now, told: ToldEvacuations) -> Option<Vec<EvacuationChange>> {
+    fn take_whole(&mut self, now: Now, told: AdvertisedEvacuations) -> Option<Vec<EvacuationChange>> {
         if told.revision <= self.revision {
             return None;
         }
@@ -177,8 +177,8 @@
     }
 
     /// What is known, for the other instances.
-    pub fn told(&self) -> ToldEvacuations {
-        ToldEvacuations {
+    pub fn told(&self) -> AdvertisedEvacuations {
+        AdvertisedEvacuations {
             revision: self.revision,
             // Whoever hears it holds for itself what a copy lacks.
             zones: self.confirmed().cloned().collect(),
--- a/crates/core/src/gateway.rs
+++ b/crates/core/src/gateway.rs
@@ -1,9 +1,9 @@
 //! Decisions of the gateway: which backend server, in which order, for how long, with which copies.
 
-pub(crate) mod engine_urgency;
+pub(crate) mod engine_priority;
 pub(crate) mod event_order;
 pub(crate) mod gateway_control;
-pub(crate) mod gateway_terms;
+pub(crate) mod gateway_parameters;
 pub(crate) mod length_estimator;
 pub(crate) mod memory_demand;
-pub(crate) mod placement_ask;
+pub(crate) mod placement_request;
--- a/crates/core/src/gateway/engine_urgency.rs
+++ b/crates/core/src/gateway/engine_urgency.rs
@@ -1,7 +1,7 @@
 //! How urgent a request is to the engine that runs it.
 
 /// Least urgent that an engine knows; 0 is the most.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// Urgency of a request of a workspace of a rank, 0 the most urgent.
 ///
@@ -9,6 +9,6 @@
 /// its memory runs out it displaces the newest of the least urgent, which it then reads
 /// anew. With short answers ranked above long ones, each burst of them would displace long
 /// sessions in the middle of their streams.
-pub fn engine_urgency(workspace_rank: u8) -> u8 {
-    workspace_rank.min(LEAST_URGENT)
+pub fn engine_priority(workspace_rank: u8) -> u8 {
+    workspace_rank.min(LOWEST_PRIORITY)
 }
--- a/crates/core/src/gateway/gateway_control.rs
+++ b/crates/core/src/gateway/gateway_control.rs
@@ -9,20 +9,20 @@
 use rand_pcg::Pcg32;
 
 use crate::BackendId;
-use crate::Belief;
+use crate::ServerView;
 use crate::ConfigVersion;
 use crate::EvacuationChange;
-use crate::FailurePause;
+use crate::FailureBackoff;
 use crate::GatewayConfig;
-use crate::GatewayTerms;
+use crate::GatewayParameters;
 use crate::InstanceId;
 use crate::LoadShares;
 use crate::Moving;
 use crate::Now;
 use crate::OwnRun;
 use crate::PeerLoads;
-use crate::PlacementAsk;
-use crate::ProvenContents;
+use crate::PlacementRequest;
+use crate::KnownGoodRequests;
 use crate::Ranking;
 use crate::Refusal;
 use crate::RefusalKind;
@@ -35,7 +35,7 @@
 use crate::RunEnd;
 use crate::ServerLimits;
 use crate::Suspicions;
-use crate::ToldLoads;
+use crate::AdvertisedLoads;
 use crate::ZoneDigest;
 use crate::ZoneEvacuations;
 use crate::own_shares;
@@ -52,11 +52,11 @@
 mod suspecting;
 
 pub use engine_watch::EngineChecks;
-pub use notices::SendStops;
+pub use notices::SendRestrictions;
 
 use cold::ColdSends;
 use engine_watch::EngineWatch;
-use notices::Rests;
+use notices::ServerBackoffs;
 use suspecting::BrokenRuns;
 
 /// Advice to a caller when every replica is full.
@@ -64,7 +64,7 @@
 
 /// Advice to a caller when no replica is known: the time in which a lost list
 /// is read again.
-const NOTHING_THERE_RETRY_AFTER: Duration = Duration::from_secs(1);
+const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What became of an offered configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -88,7 +88,7 @@
 
 /// What a tick led to.
 #[derive(Clone, Debug, Default)]
-pub struct Ticked {
+pub struct TickOutcome {
     /// Sessions that must move.
     pub evacuations: Vec<Evacuation>,
     /// Peers that fell silent.
@@ -100,10 +100,10 @@
 /// The decisions of the gateway side: a function of events, time and a seed.
 #[derive(Debug)]
 pub struct GatewayControl {
-    terms: GatewayTerms,
+    terms: GatewayParameters,
     table: Option<Arc<RouteTable>>,
     list: ReplicaList,
-    pauses: BTreeMap<BackendId, FailurePause>,
+    pauses: BTreeMap<BackendId, FailureBackoff>,
     runs: HashMap<RequestId, OwnRun>,
     peers: PeerLoads,
     budget: RetryBudget,
@@ -112,17 +112,17 @@
     watch: EngineWatch,
     evacuations: ZoneEvacuations,
     cold_sends: ColdSends,
-    rests: Rests,
+    rests: ServerBackoffs,
     limits: ServerLimits,
     broken_runs: BrokenRuns,
     suspicions: Suspicions,
-    proven: ProvenContents,
+    proven: KnownGoodRequests,
     orphaned: Vec<RequestId>,
 }
 
 impl GatewayControl {
     /// The state at the start of a process.
-    pub fn new(terms: GatewayTerms) -> Self {
+    pub fn new(terms: GatewayParameters) -> Self {
         let random = Pcg32::seed_from_u64(terms.seed);
         let mut control = GatewayControl {
             table: None,
@@ -130,17 +130,17 @@
             pauses: BTreeMap::new(),
             runs: HashMap::new(),
             peers: PeerLoads::new(terms.zone.clone()),
-            budget: RetryBudget::with_terms(terms.retry_ratio, 0.0),
+            budget: RetryBudget::with_parameters(terms.retry_ratio, 0.0),
             random,
             list_is_lost: false,
             watch: EngineWatch::default(),
             evacuations: ZoneEvacuations::default(),
             cold_sends: ColdSends::default(),
-            rests: Rests::default(),
+            rests: ServerBackoffs::default(),
             limits: ServerLimits::default(),
             broken_runs: BrokenRuns::default(),
             suspicions: Suspicions::default(),
-            proven: ProvenContents::default(),
+            proven: KnownGoodRequests::default(),
             orphaned: Vec::new(),
             terms,
         };
@@ -149,9 +149,9 @@
     }
 
     /// Takes other settings; the name and the zone of an instance stay.
-    pub fn set_terms(&mut self, terms: GatewayTerms) {
+    pub fn set_terms(&mut self, terms: GatewayParameters) {
         self.budget.set_per_request(terms.retry_ratio);
-        self.terms = GatewayTerms {
+        self.terms = GatewayParameters {
             instance: self.terms.instance.clone(),
             zone: self.terms.zone.clone(),
             ..terms
@@ -183,7 +183,7 @@
     }
 
     /// Notes what a peer tells of the load of the replicas.
-    pub fn hear_peer(&mut self, now: Now, told: ToldLoads) {
+    pub fn apply_peer_load(&mut self, now: Now, told: AdvertisedLoads) {
         self.peers.hear(now, told);
         self.share_budget();
     }
@@ -200,18 +200,18 @@
     }
 
     /// Lets time pass: forgets silent peers and lapsed entries.
-    pub fn tick(&mut self, now: Now) -> Ticked {
+    pub fn tick(&mut self, now: Now) -> TickOutcome {
         let silent = self.peers.expire(now);
         let gone = self.list.expire(now);
         let mut evacuations = match gone.is_empty() {
             true => Vec::new(),
             false => self.replicas_changed(now),
         };
-        evacuations.extend(self.seek_again(now));
+        evacuations.extend(self.retry_moves(now));
         self.suspicions.expire(now);
-        self.forget_rests(now);
+        self.forget_backoffs(now);
         self.forget_limits(now);
-        Ticked {
+        TickOutcome {
             evacuations,
             silent,
             ended_evacuations: self.evacuations.expire(now),
@@ -223,7 +223,7 @@
     /// # Errors
     ///
     /// A refusal; nothing was sent.
-    pub fn place(&mut self, now: Now, ask: PlacementAsk) -> Result<Ranking, Refusal> {
+    pub fn place(&mut self, now: Now, ask: PlacementRequest) -> Result<Ranking, Refusal> {
         self.check_quarantine(now, ask.fingerprint)?;
         let scores = self.scores(now, &ask, None);
         if scores.is_empty() {
@@ -238,11 +238,11 @@
                 format!("the engines of {} have no memory left", ask.service),
             ));
         }
-        let (fitting, passed_over) = self.pass_over_limited(now, fitting);
+        let (fitting, passed_over) = self.skip_limited(now, fitting);
         let Some(first) = fitting.first() else {
             return Err(self.all_limited(now, &ask, &passed_over));
         };
-        let belief = Belief {
+        let belief = ServerView {
             requests: first.load.requests,
             memory: first.memory,
             instances: self.peers.count(),
@@ -308,7 +308,7 @@
         self.rests.served(request);
         let had_begun = std::mem::replace(&mut run.has_begun, true);
         run.begun_at.get_or_insert(now);
-        let is_proof = !run.is_proven && run.went_well(now);
+        let is_proof = !run.is_proven && run.has_run_well(now);
         run.is_proven |= is_proof;
         let fingerprint = run.ask.fingerprint;
         if let Some(pause) = self.pauses.get_mut(&run.replica) {
@@ -359,7 +359,7 @@
     /// off from the others count on no more than that.
     fn share_budget(&mut self) {
         let known = u32::try_from(self.peers.count() + 1).unwrap_or(u32::MAX);
-        let sharers = f64::from(known.max(self.terms.least_sharers));
+        let sharers = f64::from(known.max(self.terms.min_sharers));
         self.budget.set_max_saved(self.terms.retry_extra / sharers);
     }
 }
--- a/crates/core/src/gateway/gateway_control/carrying.rs
+++ b/crates/core/src/gateway/gateway_control/carrying.rs
@@ -6,11 +6,11 @@
 use super::Evacuation;
 use super::GatewayControl;
 use crate::BackendId;
-use crate::CarryTarget;
+use crate::FailoverTarget;
 use crate::ListedState;
 use crate::Moving;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Replica;
 use crate::ReplicaScore;
 use crate::RequestClass;
@@ -18,39 +18,39 @@
 
 /// Share of the memory of an engine up to which sessions move there: a session
 /// that can't move is lost with its engine, one that is displaced only pauses.
-const MOVE_LIMIT: f64 = 1.0;
+const MOVE_MEMORY_LIMIT: f64 = 1.0;
 
 impl GatewayControl {
     /// Decides where a session goes on whose engine broke off; `None` when no
     /// copy of it is usable.
-    pub fn carry(&mut self, now: Now, request: &str) -> Option<CarryTarget> {
-        let run = self.runs.get(request).filter(|_| self.may_go_on(request))?;
+    pub fn fail_over(&mut self, now: Now, request: &str) -> Option<FailoverTarget> {
+        let run = self.runs.get(request).filter(|_| self.may_resend(request))?;
         if run.moving != Moving::Stays {
             // The copy that it moves to was never complete.
             return None;
         }
         let backup = self.list.replica(run.backup.as_deref()?)?.clone();
-        self.carry_to(now, request, backup)
+        self.fail_over_to(now, request, backup)
     }
 
     /// Decides where a stream is run again whose engine broke off and that has no
     /// copy; `None` when no engine takes it or the retry budget is spent.
-    pub fn place_again(&mut self, now: Now, request: &str) -> Option<CarryTarget> {
-        let run = self.runs.get(request).filter(|_| self.may_go_on(request))?;
+    pub fn restart_stream(&mut self, now: Now, request: &str) -> Option<FailoverTarget> {
+        let run = self.runs.get(request).filter(|_| self.may_resend(request))?;
         let from = run.replica.clone();
         let mut ask = run.ask.clone();
         ask.prompt_tokens += run.generated;
         let limit = self.terms.memory_limit;
         let scores = self.scores(now, &ask, Some(&from)).into_iter();
         let fitting = scores.filter(|score| score.memory <= limit).collect();
-        let (fitting, _) = self.pass_over_limited(now, fitting);
+        let (fitting, _) = self.skip_limited(now, fitting);
         let first = fitting.into_iter().next()?;
         if !self.spend_retry(&ask.service) {
             return None;
         }
         self.note_send(now, &first.replica.id);
         self.limits.keep_grant(now, request, first.replica.life());
-        let target = self.carry_to(now, request, first.replica)?;
+        let target = self.fail_over_to(now, request, first.replica)?;
         let run = self.runs.get_mut(request)?;
         run.has_begun = false;
         Some(target)
@@ -58,7 +58,7 @@
 
     /// Counts a session as running where it was: its copy could not be used and
     /// is of no more use.
-    pub fn not_carried(&mut self, request: &str, replica: BackendId) {
+    pub fn failover_failed(&mut self, request: &str, replica: BackendId) {
         let life = self.list.replica(&replica).map(Replica::life);
         if let Some(run) = self.runs.get_mut(request) {
             run.replica = replica;
@@ -69,7 +69,7 @@
 
     /// Counts a session as running at `replica` and chooses where its next
     /// copy is kept.
-    pub fn carry_to(&mut self, now: Now, request: &str, replica: Replica) -> Option<CarryTarget> {
+    pub fn fail_over_to(&mut self, now: Now, request: &str, replica: Replica) -> Option<FailoverTarget> {
         let run = self.runs.get(request)?;
         let from = run.replica.clone();
         let mut ask = run.ask.clone();
@@ -83,7 +83,7 @@
         run.life = Some(replica.life());
         run.backup = next.as_ref().map(|replica| replica.id.clone());
         run.backup_life = next.as_ref().map(Replica::life);
-        Some(CarryTarget {
+        Some(FailoverTarget {
             replica,
             backup: next,
             from,
@@ -93,7 +93,7 @@
     pub(super) fn choose_backup(
         &mut self,
         now: Now,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         first: &Replica,
     ) -> Option<Replica> {
         self.choose_backup_besides(now, ask, first, None)
@@ -105,7 +105,7 @@
     fn choose_backup_besides(
         &mut self,
         now: Now,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         first: &Replica,
         also: Option<&str>,
     ) -> Option<Replica> {
@@ -131,7 +131,7 @@
             // The sort is stable: the best of each zone stays the first of it.
             fitting.sort_by_key(|replica| replica.availability_zone != self.terms.zone);
         }
-        self.unlimited_first(&mut fitting);
+        self.sort_limited_last(&mut fitting);
         fitting.into_iter().next()
     }
 
@@ -139,8 +139,8 @@
     /// an engine that leaves is of no more use.
     pub(super) fn replicas_changed(&mut self, now: Now) -> Vec<Evacuation> {
         self.confirm_by_list(now);
-        self.reset_new_lives();
-        self.forget_left();
+        self.reset_new_incarnations();
+        self.forget_removed();
         self.forget_cold();
         self.pauses
             .retain(|id, _| self.list.state(id) != ListedState::Removed);
@@ -180,7 +180,7 @@
     }
 
     /// Sessions end all the time: those that found no room look again.
-    pub(super) fn seek_again(&mut self, now: Now) -> Vec<Evacuation> {
+    pub(super) fn retry_moves(&mut self, now: Now) -> Vec<Evacuation> {
         let seeking = self
             .runs
             .iter()
@@ -197,7 +197,7 @@
     /// has not tried, first in the zone of its engine, where moves take half
     /// the time.
     pub fn evacuate(&mut self, now: Now, request: &str, tried: &[BackendId]) -> Option<Evacuation> {
-        if !self.may_go_on(request) {
+        if !self.may_resend(request) {
             return None;
         }
         let run = self.runs.get_mut(request)?;
@@ -210,16 +210,16 @@
             .replica(&from)
             .map(|r| r.availability_zone.clone());
         let zone = zone.unwrap_or_else(|| self.terms.zone.clone());
-        let scores = self.scores_seen_from(now, &ask, Some(&from), &zone);
+        let scores = self.scores_from_zone(now, &ask, Some(&from), &zone);
         let fits =
-            |score: &ReplicaScore| score.memory <= MOVE_LIMIT && !tried.contains(&score.replica.id);
+            |score: &ReplicaScore| score.memory <= MOVE_MEMORY_LIMIT && !tried.contains(&score.replica.id);
         let fitting = scores.into_iter().filter(fits).map(|score| score.replica);
         let mut fitting: Vec<Replica> = fitting.collect();
         let is_free = |replica: &Replica| !self.limits.has(replica.life());
         if fitting.iter().any(is_free) {
             fitting.retain(is_free);
         }
-        let target = self.one_of_the_better(fitting, &zone)?;
+        let target = self.pick_from_better_half(fitting, &zone)?;
         self.note_send(now, &target.id);
         let run = self.runs.get_mut(request)?;
         run.moving = Moving::Moves;
@@ -235,7 +235,7 @@
     /// One by chance of the better half, those of `zone` first: instances that
     /// move sessions at the same moment don't know of each other yet, and copies
     /// to one engine wait for each other.
-    fn one_of_the_better(&mut self, ranked: Vec<Replica>, zone: &str) -> Option<Replica> {
+    fn pick_from_better_half(&mut self, ranked: Vec<Replica>, zone: &str) -> Option<Replica> {
         let (near, far): (Vec<Replica>, Vec<Replica>) = ranked
             .into_iter()
             .partition(|replica| replica.availability_zone == zone);
--- a/crates/core/src/gateway/gateway_control/cold.rs
+++ b/crates/core/src/gateway/gateway_control/cold.rs
@@ -14,7 +14,7 @@
 /// Part of what a cold replica bears that the instances hand out among themselves. Two
 /// halves of a fleet that don't hear each other each hand out all of it, and send no
 /// more than it bears.
-const HANDED_OUT: f64 = 0.5;
+const SHARED_FRACTION: f64 = 0.5;
 
 /// When this instance last sent something to each replica that was cold.
 #[derive(Debug, Default)]
@@ -50,7 +50,7 @@
     /// Least time between two sends of this instance to a cold replica, `None` when it
     /// is not among those of its zone that may.
     fn cold_spacing(&self, replica: &str, per_s: f64) -> Option<Duration> {
-        let zone_share = per_s * HANDED_OUT / self.zones_that_send() as f64;
+        let zone_share = per_s * SHARED_FRACTION / self.sending_zones() as f64;
         let own = self.terms.instance.as_str();
         let names = self.peers.neighbours().map(String::as_str).chain([own]);
         let rank = rendezvous_rank(replica, names);
@@ -67,7 +67,7 @@
         may_send.then(|| Duration::from_secs_f64(1.0 / each_per_s))
     }
 
-    fn zones_that_send(&self) -> usize {
+    fn sending_zones(&self) -> usize {
         let others = self.peers.zones().filter(|zone| **zone != self.terms.zone);
         others.count() + 1
     }
--- a/crates/core/src/gateway/gateway_control/engine_watch.rs
+++ b/crates/core/src/gateway/gateway_control/engine_watch.rs
@@ -20,15 +20,15 @@
 
 /// How long a replica that could not be reached is left alone: in an outage of
 /// the list nothing else tells that it is gone, and a cut may heal.
-const LEFT_ALONE_FOR: Duration = Duration::from_secs(4);
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(4);
 
 /// How long it is told to the others that an engine leaves; several heartbeats,
 /// of which some may be lost.
-const TOLD_FOR: Duration = Duration::from_secs(10);
+const DRAINING_ADVERTISED_FOR: Duration = Duration::from_secs(10);
 
 /// How long it is told to the others that a replica could not be reached: two
 /// heartbeats; whoever finds it so again tells it again.
-const UNREACHABLE_TOLD_FOR: Duration = Duration::from_secs(2);
+const UNREACHABLE_ADVERTISED_FOR: Duration = Duration::from_secs(2);
 
 /// Engines to be asked or looked at now.
 #[derive(Clone, Debug, Default)]
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 pub(super) struct EngineWatch {
     said_leaving: BTreeMap<BackendId, Now>,
-    heard_leaving: BTreeMap<BackendId, Now>,
+    peers_said_leaving: BTreeMap<BackendId, Now>,
     looked_at: BTreeMap<BackendId, Now>,
     unreachable_until: BTreeMap<BackendId, Now>,
     found_unreachable: BTreeMap<BackendId, Now>,
@@ -53,7 +53,7 @@
     /// Drops what is known of a replica.
     pub(super) fn forget(&mut self, id: &str) {
         self.said_leaving.remove(id);
-        self.heard_leaving.remove(id);
+        self.peers_said_leaving.remove(id);
         self.looked_at.remove(id);
         self.unreachable_until.remove(id);
         self.found_unreachable.remove(id);
@@ -92,7 +92,7 @@
         let ask = engines.iter().filter(|replica| is_ours(replica)).cloned();
         EngineChecks {
             ask: ask.collect(),
-            look: self.unseen_keepers(now, &engines),
+            look: self.backups_to_probe(now, &engines),
         }
     }
 
@@ -104,7 +104,7 @@
         server: &ServerLife,
         to_us: bool,
     ) -> Option<Vec<Evacuation>> {
-        let is_news = self.list.says_it_leaves(now, server);
+        let is_news = self.list.mark_draining(now, server);
         if !self.is_current(server) {
             // Kept for when the list tells of that life, and told nobody.
             return None;
@@ -113,7 +113,7 @@
         if to_us {
             self.watch.said_leaving.insert(id, now);
         } else if is_news {
-            self.watch.heard_leaving.insert(id, now);
+            self.watch.peers_said_leaving.insert(id, now);
         }
         is_news.then(|| self.replicas_changed(now))
     }
@@ -121,16 +121,16 @@
     /// Replicas that told this instance lately that they leave; for a relay also
     /// those that told a peer.
     pub fn said_leaving(&self, now: Now, is_relay: bool) -> Vec<BackendId> {
-        let heard = self.watch.heard_leaving.iter().filter(|_| is_relay);
+        let heard = self.watch.peers_said_leaving.iter().filter(|_| is_relay);
         let said = self.watch.said_leaving.iter().chain(heard);
-        let lately = said.filter(|(_, at)| now.saturating_sub(**at) < TOLD_FOR);
+        let lately = said.filter(|(_, at)| now.saturating_sub(**at) < DRAINING_ADVERTISED_FOR);
         lately.map(|(id, _)| id.clone()).collect()
     }
 
     /// Notes that a replica can't be reached from here: nothing new goes there for
     /// a while, and copies of own sessions there count as lost.
     pub fn unreachable(&mut self, now: Now, id: &str) {
-        let until = now + LEFT_ALONE_FOR;
+        let until = now + UNREACHABLE_BACKOFF;
         self.watch.unreachable_until.insert(id.to_owned(), until);
         for run in self.runs.values_mut() {
             let keeps = run.backup.as_deref() == Some(id);
@@ -143,8 +143,8 @@
     /// Notes that a replica took no connection of ours. While nobody confirms the list,
     /// and while it settles after that, nothing else tells that it is gone, and the
     /// others should not find out each by itself. Returns whether they are to be told.
-    pub fn takes_no_connection(&mut self, now: Now, id: &str) -> bool {
-        if !self.list_is_doubtful(now) {
+    pub fn refused_connection(&mut self, now: Now, id: &str) -> bool {
+        if !self.is_list_uncertain(now) {
             return false;
         }
         let is_news = !self.watch.is_unreachable(now, id);
@@ -155,20 +155,20 @@
 
     /// Notes that a replica took no connection of a peer of this zone, which sees
     /// what this instance sees.
-    pub fn hear_unreachable(&mut self, now: Now, id: &str) {
-        if self.list_is_doubtful(now) {
+    pub fn apply_peer_unreachable(&mut self, now: Now, id: &str) {
+        if self.is_list_uncertain(now) {
             self.unreachable(now, id);
         }
     }
 
-    fn list_is_doubtful(&self, now: Now) -> bool {
+    fn is_list_uncertain(&self, now: Now) -> bool {
         self.list_is_lost || self.list.is_settling(now)
     }
 
     /// Replicas that took no connection of ours lately.
     pub fn found_unreachable(&self, now: Now) -> Vec<BackendId> {
         let found = self.watch.found_unreachable.iter();
-        let lately = found.filter(|(_, at)| now.saturating_sub(**at) < UNREACHABLE_TOLD_FOR);
+        let lately = found.filter(|(_, at)| now.saturating_sub(**at) < UNREACHABLE_ADVERTISED_FOR);
         lately.map(|(id, _)| id.clone()).collect()
     }
 
@@ -182,7 +182,7 @@
         engines.cloned().collect()
     }
 
-    fn unseen_keepers(&mut self, now: Now, engines: &[Replica]) -> Vec<Replica> {
+    fn backups_to_probe(&mut self, now: Now, engines: &[Replica]) -> Vec<Replica> {
         let keeps = |id: &BackendId| {
             let mut sessions = self.runs.values();
             sessions
@@ -204,11 +204,11 @@
     }
 
     /// Drops what is known of replicas that are gone.
-    pub(super) fn forget_left(&mut self) {
+    pub(super) fn forget_removed(&mut self) {
         let list = &self.list;
         let is_listed = |id: &BackendId| list.state(id) != ListedState::Removed;
         self.watch.said_leaving.retain(|id, _| is_listed(id));
-        self.watch.heard_leaving.retain(|id, _| is_listed(id));
+        self.watch.peers_said_leaving.retain(|id, _| is_listed(id));
         self.watch.unreachable_until.retain(|id, _| is_listed(id));
         self.watch.found_unreachable.retain(|id, _| is_listed(id));
     }
--- a/crates/core/src/gateway/gateway_control/evacuating.rs
+++ b/crates/core/src/gateway/gateway_control/evacuating.rs
@@ -3,13 +3,13 @@
 
 use super::FULL_RETRY_AFTER;
 use super::GatewayControl;
-use super::NOTHING_THERE_RETRY_AFTER;
+use super::NO_BACKEND_RETRY_AFTER;
 use crate::BackendId;
 use crate::EvacuationChange;
-use crate::EvacuationNews;
+use crate::EvacuationUpdate;
 use crate::Moving;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Refusal;
 use crate::RefusalKind;
 use crate::Replica;
@@ -24,10 +24,10 @@
     pub fn offer_evacuations(
         &mut self,
         now: Now,
-        news: EvacuationNews,
+        news: EvacuationUpdate,
     ) -> Option<Vec<EvacuationChange>> {
         let changes = self.evacuations.take(now, news)?;
-        self.forget_evacuated_copies();
+        self.drop_evacuated_backups();
         Some(changes)
     }
 
@@ -48,7 +48,7 @@
 
     /// Whether a replica is in a region that is home to a request. A zone whose region
     /// is not known is home to none.
-    pub(super) fn is_at_home(&self, replica: &Replica, ask: &PlacementAsk) -> bool {
+    pub(super) fn is_in_home_region(&self, replica: &Replica, ask: &PlacementRequest) -> bool {
         let Some(homes) = &ask.homes else {
             return true;
         };
@@ -58,14 +58,14 @@
 
     /// Why no backend server takes a request; the caller can't know whether it is the
     /// operators' doing.
-    pub(super) fn nothing_takes(&mut self, now: Now, ask: &PlacementAsk) -> Refusal {
+    pub(super) fn nothing_takes(&mut self, now: Now, ask: &PlacementRequest) -> Refusal {
         if let Some(refusal) = self.all_rest(now, ask) {
             return refusal;
         }
         let service = &ask.service;
         let serving = self.list.serving(now).filter(|r| r.service == *service);
         let serving: Vec<&Replica> = serving.collect();
-        let at_home = || serving.iter().filter(|r| self.is_at_home(r, ask));
+        let at_home = || serving.iter().filter(|r| self.is_in_home_region(r, ask));
         let mut open = at_home().filter(|replica| self.is_open(replica));
         let message = if serving.is_empty() {
             format!("no backend server of {service} takes requests now")
@@ -77,12 +77,12 @@
             let message = format!("the backend servers of {service} are cold and bear no more");
             return Refusal::new(RefusalKind::QueueFull, FULL_RETRY_AFTER, message);
         };
-        Refusal::new(RefusalKind::NoBackend, NOTHING_THERE_RETRY_AFTER, message)
+        Refusal::new(RefusalKind::NoBackend, NO_BACKEND_RETRY_AFTER, message)
     }
 
     /// A session can't go on at a copy in an evacuated zone; a move there that is under
     /// way is ended by whoever sends the session on.
-    fn forget_evacuated_copies(&mut self) {
+    fn drop_evacuated_backups(&mut self) {
         let is_evacuated = |id: &BackendId| {
             let replica = self.list.replica(id);
             replica.is_some_and(|r| self.evacuations.is_evacuated(&r.availability_zone))
--- a/crates/core/src/gateway/gateway_control/listing.rs
+++ b/crates/core/src/gateway/gateway_control/listing.rs
@@ -8,7 +8,7 @@
 use crate::ReplicaChange;
 use crate::ReplicaList;
 use crate::Revision;
-use crate::ToldList;
+use crate::AdvertisedList;
 
 impl GatewayControl {
     /// The list of replicas.
@@ -34,7 +34,7 @@
     }
 
     /// Takes the list of another instance; returns what sessions must do.
-    pub fn hear_list(&mut self, now: Now, told: ToldList) -> Vec<Evacuation> {
+    pub fn apply_peer_list(&mut self, now: Now, told: AdvertisedList) -> Vec<Evacuation> {
         self.list.hear(now, told);
         self.replicas_changed(now)
     }
@@ -54,7 +54,7 @@
 
     /// Notes whether nobody has confirmed the list for long; returns whether that
     /// is news.
-    pub fn list_lost(&mut self, is_lost: bool) -> bool {
+    pub fn set_list_stale(&mut self, is_lost: bool) -> bool {
         std::mem::replace(&mut self.list_is_lost, is_lost) != is_lost
     }
 
--- a/crates/core/src/gateway/gateway_control/lives.rs
+++ b/crates/core/src/gateway/gateway_control/lives.rs
@@ -17,7 +17,7 @@
     }
 
     /// The listed lives of backend servers.
-    pub fn lives_of(&self, ids: Vec<BackendId>) -> Vec<ServerLife> {
+    pub fn incarnations_of(&self, ids: Vec<BackendId>) -> Vec<ServerLife> {
         let listed = ids.iter().filter_map(|id| self.list.replica(id));
         listed.map(|replica| replica.server_life()).collect()
     }
@@ -29,17 +29,17 @@
     }
 
     /// Begins with nothing believed of the lives that the list has newly brought.
-    pub(super) fn reset_new_lives(&mut self) {
-        for id in self.list.take_begun() {
+    pub(super) fn reset_new_incarnations(&mut self) {
+        for id in self.list.take_started() {
             self.pauses.remove(&id);
             self.watch.forget(&id);
             self.cold_sends.forget(&id);
-            self.orphan_runs_of(&id);
+            self.mark_orphaned(&id);
         }
     }
 
     /// Sessions and copies that an earlier life held are gone with it.
-    fn orphan_runs_of(&mut self, id: &str) {
+    fn mark_orphaned(&mut self, id: &str) {
         let Some(life) = self.list.replica(id).map(|replica| replica.life()) else {
             return;
         };
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -12,34 +12,34 @@
 use super::Evacuation;
 use super::FULL_RETRY_AFTER;
 use super::GatewayControl;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Refusal;
 use crate::Replica;
 use crate::ServerLife;
 use crate::ServerNotice;
-use crate::ServerRest;
+use crate::ServerBackoff;
 
 /// Longest time after a rest over which callers that were refused because of it are spread;
 /// for shorter rests it is what is left of them. Told the same moment, they would all come
 /// back in it.
-const LONGEST_SPREAD: Duration = Duration::from_secs(5);
+const MAX_RETRY_SPREAD: Duration = Duration::from_secs(5);
 
 /// What the tasks that send must know at once, also of requests that were placed before.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct SendStops {
+pub struct SendRestrictions {
     /// Lives that leave: nothing new is sent.
-    pub leaving: BTreeSet<LifeId>,
+    pub leaving: BTreeSet<IncarnationId>,
     /// Until when lives rest: nothing at all is sent.
-    pub resting: BTreeMap<LifeId, Now>,
+    pub resting: BTreeMap<IncarnationId, Now>,
     /// Lives that named limits: each send asks.
-    pub limited: BTreeSet<LifeId>,
+    pub limited: BTreeSet<IncarnationId>,
 }
 
-impl SendStops {
+impl SendRestrictions {
     /// When the rest of a life is over, if it rests now.
-    pub fn rests_until(&self, now: Now, life: LifeId) -> Option<Now> {
+    pub fn backoff_until(&self, now: Now, life: IncarnationId) -> Option<Now> {
         self.resting
             .get(&life)
             .copied()
@@ -49,24 +49,24 @@
 
 /// What this instance was asked for by answers.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rests {
-    by_life: BTreeMap<LifeId, ServerRest>,
+pub(super) struct ServerBackoffs {
+    by_life: BTreeMap<IncarnationId, ServerBackoff>,
     /// Rises when a server asks for rest.
     version: u64,
 }
 
-impl Rests {
-    pub(super) fn may_send(&self, now: Now, life: LifeId) -> bool {
+impl ServerBackoffs {
+    pub(super) fn may_send(&self, now: Now, life: IncarnationId) -> bool {
         let rest = self.by_life.get(&life);
         rest.is_none_or(|rest| rest.may_send(now))
     }
 
-    pub(super) fn rests(&self, now: Now, life: LifeId) -> bool {
+    pub(super) fn rests(&self, now: Now, life: IncarnationId) -> bool {
         let rest = self.by_life.get(&life);
         rest.is_some_and(|rest| !rest.left(now).is_zero())
     }
 
-    pub(super) fn sent(&mut self, now: Now, life: LifeId, request: &str) {
+    pub(super) fn sent(&mut self, now: Now, life: IncarnationId, request: &str) {
         if let Some(rest) = self.by_life.get_mut(&life) {
             rest.sent(now, request);
         }
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn served(&mut self, request: &str) {
-        self.by_life.retain(|_, rest| !rest.is_over_by(request));
+        self.by_life.retain(|_, rest| !rest.is_ended_by(request));
     }
 }
 
@@ -105,16 +105,16 @@
     }
 
     /// Rises whenever there is more or less that may not be sent, but for rests that are over.
-    pub fn stops_version(&self) -> u64 {
-        self.rests.version + self.limits.version() + self.list.leaving_version()
+    pub fn restrictions_version(&self) -> u64 {
+        self.rests.version + self.limits.version() + self.list.draining_version()
     }
 
     /// What may not be sent now.
-    pub fn send_stops(&self, now: Now) -> SendStops {
+    pub fn send_restrictions(&self, now: Now) -> SendRestrictions {
         let rests = self.rests.by_life.iter();
         let resting = rests.filter(|(_, rest)| !rest.left(now).is_zero());
-        SendStops {
-            leaving: self.list.lives_that_leave(now),
+        SendRestrictions {
+            leaving: self.list.draining_incarnations(now),
             resting: resting.map(|(life, rest)| (*life, rest.until())).collect(),
             limited: self.limits.lives(),
         }
@@ -133,13 +133,13 @@
 
     /// When a caller should come back whose request found nobody, placed or sent: at once
     /// where a backend server takes requests, else when the first rest is over.
-    pub fn return_after(&mut self, now: Now, ask: &PlacementAsk, otherwise: Duration) -> Duration {
+    pub fn caller_retry_after(&mut self, now: Now, ask: &PlacementRequest, otherwise: Duration) -> Duration {
         let left = self.shortest_wait(now, ask);
         left.map_or(otherwise, |left| self.spread(left))
     }
 
     /// Why nobody takes a request, if that is because all who could have asked for rest.
-    pub(super) fn all_rest(&mut self, now: Now, ask: &PlacementAsk) -> Option<Refusal> {
+    pub(super) fn all_rest(&mut self, now: Now, ask: &PlacementRequest) -> Option<Refusal> {
         let left = self.shortest_wait(now, ask)?;
         let retry_after = self.spread(left);
         Some(Refusal::resting(&ask.service, retry_after))
@@ -147,9 +147,9 @@
 
     /// The shortest time until a replica that could take a request has rested, or takes one
     /// more under the limit that it named; `None` when one takes requests now, or there is none.
-    fn shortest_wait(&self, now: Now, ask: &PlacementAsk) -> Option<Duration> {
+    fn shortest_wait(&self, now: Now, ask: &PlacementRequest) -> Option<Duration> {
         let serving = self.list.serving(now).filter(|r| r.service == ask.service);
-        let open = serving.filter(|r| self.is_open(r) && self.is_at_home(r, ask));
+        let open = serving.filter(|r| self.is_open(r) && self.is_in_home_region(r, ask));
         let left = |replica: &Replica| {
             let rest = self.rests.by_life.get(&replica.life())?;
             match rest.left(now) {
@@ -159,13 +159,13 @@
                 _ => None,
             }
         };
-        let left = |replica: &Replica| left(replica).or_else(|| self.turn_in(now, replica));
+        let left = |replica: &Replica| left(replica).or_else(|| self.time_until_turn(now, replica));
         let lefts: Option<Vec<Duration>> = open.map(left).collect();
         lefts?.into_iter().min()
     }
 
     fn spread(&mut self, left: Duration) -> Duration {
-        left + left.min(LONGEST_SPREAD).mul_f64(self.chance())
+        left + left.min(MAX_RETRY_SPREAD).mul_f64(self.chance())
     }
 
     /// A number from 0 to 1.
@@ -174,7 +174,7 @@
     }
 
     /// Drops rests that are over of lives that are listed no more.
-    pub(super) fn forget_rests(&mut self, now: Now) {
+    pub(super) fn forget_backoffs(&mut self, now: Now) {
         if self.rests.by_life.is_empty() {
             return;
         }
--- a/crates/core/src/gateway/gateway_control/ranking.rs
+++ b/crates/core/src/gateway/gateway_control/ranking.rs
@@ -7,7 +7,7 @@
 use super::GatewayControl;
 use crate::LoadShare;
 use crate::Now;
-use crate::PlacementAsk;
+use crate::PlacementRequest;
 use crate::Replica;
 use crate::ReplicaScore;
 use crate::ScoreContext;
@@ -39,18 +39,18 @@
     pub(super) fn scores(
         &mut self,
         now: Now,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         besides: Option<&str>,
     ) -> Vec<ReplicaScore> {
         let zone = self.terms.zone.clone();
-        self.scores_seen_from(now, ask, besides, &zone)
+        self.scores_from_zone(now, ask, besides, &zone)
     }
 
     /// The same seen from a zone.
-    pub(super) fn scores_seen_from(
+    pub(super) fn scores_from_zone(
         &mut self,
         now: Now,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         besides: Option<&str>,
         zone: &str,
     ) -> Vec<ReplicaScore> {
@@ -68,7 +68,7 @@
             .serving(now)
             .filter(|replica| replica.service == ask.service)
             .filter(|replica| Some(replica.id.as_str()) != besides)
-            .filter(|replica| self.is_open(replica) && self.is_at_home(replica, ask))
+            .filter(|replica| self.is_open(replica) && self.is_in_home_region(replica, ask))
             .filter(|replica| self.has_rested(now, replica))
             .filter(|replica| self.may_send_cold(now, replica, service.cold_per_s))
             .cloned()
@@ -84,10 +84,10 @@
         // When all are paused, trying one of them beats refusing; those that take no more under
         // their limits may turn out to be of no use.
         let mut unlimited = replicas.iter().filter(|r| !self.limits.has(r.life()));
-        let all_paused = unlimited.all(|r| pause_of(&r.id).is_paused(now));
+        let all_paused = unlimited.all(|r| pause_of(&r.id).is_backing_off(now));
         for replica in replicas {
             let pause = self.pauses.get(&replica.id).copied().unwrap_or_default();
-            if pause.is_paused(now) && !all_paused {
+            if pause.is_backing_off(now) && !all_paused {
                 continue;
             }
             let context = ScoreContext {
--- a/crates/core/src/gateway/gateway_control/suspecting.rs
+++ b/crates/core/src/gateway/gateway_control/suspecting.rs
@@ -6,26 +6,26 @@
 use super::GatewayControl;
 use crate::BackendId;
 use crate::Fingerprint;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::ListedState;
 use crate::Now;
-use crate::RAN_WELL_AFTER;
+use crate::KNOWN_GOOD_AFTER;
 use crate::Refusal;
 use crate::Replica;
 use crate::RequestId;
-use crate::ServerEnd;
+use crate::ServerCrash;
 use crate::ServerLife;
-use crate::SuspicionNews;
-use crate::ToldSuspect;
+use crate::SuspicionUpdate;
+use crate::AdvertisedSuspect;
 use crate::Verdict;
 use crate::rendezvous_rank;
 
 /// How long a broken run waits for a word that its server has ended: an entry goes after
 /// three heartbeats of 1.2 s, or changes when the server is back after some seconds.
-const UNCONFIRMED_FOR: Duration = Duration::from_secs(10);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Broken runs that wait for it: all of an instance's when an availability zone goes.
-const MOST_UNCONFIRMED: usize = 1_024;
+const MAX_UNCONFIRMED: usize = 1_024;
 
 /// Time in which a request that is sent as a probe should end or go on well.
 const PROBE: Duration = Duration::from_secs(10);
@@ -35,7 +35,7 @@
 struct BrokenRun {
     fingerprint: Fingerprint,
     replica: BackendId,
-    life: LifeId,
+    life: IncarnationId,
     at: Now,
 }
 
@@ -50,11 +50,11 @@
 impl GatewayControl {
     /// Notes that the run of a request broke off or fell silent at a replica. Not when the
     /// replica was leaving, or the run had gone well for a while.
-    pub fn broke_off(&mut self, now: Now, request: &str, replica: &Replica) {
+    pub fn note_broken_run(&mut self, now: Now, request: &str, replica: &Replica) {
         let Some(run) = self.runs.get(request) else {
             return;
         };
-        if run.went_well(now) {
+        if run.has_run_well(now) {
             return;
         }
         let broken = BrokenRun {
@@ -75,7 +75,7 @@
         let waits = |known: &BrokenRun| {
             (known.fingerprint, known.life) == (broken.fingerprint, broken.life)
         };
-        if waiting.len() < MOST_UNCONFIRMED && !waiting.iter().any(waits) {
+        if waiting.len() < MAX_UNCONFIRMED && !waiting.iter().any(waits) {
             self.broken_runs.unconfirmed.push(broken);
         }
     }
@@ -99,7 +99,7 @@
         let unconfirmed = std::mem::take(&mut self.broken_runs.unconfirmed);
         let (ended, open): (Vec<BrokenRun>, Vec<BrokenRun>) = unconfirmed
             .into_iter()
-            .filter(|broken| now.saturating_sub(broken.at) < UNCONFIRMED_FOR)
+            .filter(|broken| now.saturating_sub(broken.at) < CONFIRMATION_TIMEOUT)
             .partition(|broken| is_confirmed(self, broken));
         self.broken_runs.unconfirmed = open;
         for broken in &ended {
@@ -108,36 +108,36 @@
     }
 
     fn attribute(&mut self, now: Now, broken: &BrokenRun) {
-        let end = ServerEnd {
+        let end = ServerCrash {
             life: broken.life,
             at: broken.at,
         };
-        let proven_at = self.proven.proven_at(broken.fingerprint);
+        let known_good_at = self.proven.known_good_at(broken.fingerprint);
         self.suspicions
-            .server_ended(now, broken.fingerprint, proven_at, end);
+            .server_ended(now, broken.fingerprint, known_good_at, end);
     }
 
     /// Takes what a peer suspects.
-    pub fn hear_suspects(&mut self, now: Now, told: &[ToldSuspect]) {
+    pub fn apply_peer_suspects(&mut self, now: Now, told: &[AdvertisedSuspect]) {
         for told in told {
-            let proven_at = self.proven.proven_at(told.fingerprint);
-            self.suspicions.hear(now, proven_at, told);
+            let known_good_at = self.proven.known_good_at(told.fingerprint);
+            self.suspicions.hear(now, known_good_at, told);
         }
     }
 
     /// What the others should know of suspicions now.
-    pub fn told_suspects(&mut self, now: Now) -> Vec<ToldSuspect> {
+    pub fn advertised_suspects(&mut self, now: Now) -> Vec<AdvertisedSuspect> {
         self.suspicions.told(now)
     }
 
     /// The suspicions that have changed since this was asked last.
-    pub fn suspicion_updates(&mut self) -> Vec<SuspicionNews> {
+    pub fn suspicion_updates(&mut self) -> Vec<SuspicionUpdate> {
         self.suspicions.take_news()
     }
 
     /// Sessions of this instance with a content that have not begun: they wait at their
     /// engines, and would end these as well.
-    pub fn waiting_with(&self, fingerprint: Fingerprint) -> Vec<RequestId> {
+    pub fn unstarted_with(&self, fingerprint: Fingerprint) -> Vec<RequestId> {
         let runs = self.runs.iter();
         let waits = runs.filter(|(_, run)| {
             run.ask.fingerprint == fingerprint && !run.has_begun && !run.is_proven
@@ -162,11 +162,11 @@
     }
 
     /// Whether a request under way may be sent to a further replica.
-    pub fn may_go_on(&self, request: &str) -> bool {
+    pub fn may_resend(&self, request: &str) -> bool {
         let Some(run) = self.runs.get(request) else {
             return true;
         };
-        run.is_proven || self.suspicions.verdict(run.ask.fingerprint) == Verdict::Free
+        run.is_proven || self.suspicions.verdict(run.ask.fingerprint) == Verdict::Allowed
     }
 
     /// Refuses a request whose content is quarantined. After its quarantine one
@@ -211,8 +211,8 @@
 
 impl crate::OwnRun {
     /// Whether it has gone on well for a while where it runs, or did so before.
-    pub(super) fn went_well(&self, now: Now) -> bool {
-        let since = |begun: Now| now.saturating_sub(begun) >= RAN_WELL_AFTER;
+    pub(super) fn has_run_well(&self, now: Now) -> bool {
+        let since = |begun: Now| now.saturating_sub(begun) >= KNOWN_GOOD_AFTER;
         self.is_proven || self.begun_at.is_some_and(since)
     }
 }
--- a/crates/core/src/gateway/gateway_terms.rs
+++ b/crates/core/src/gateway/gateway_terms.rs
@@ -8,7 +8,7 @@
 
 /// Settings of the gateway's decisions.
 #[derive(Clone, Debug)]
-pub struct GatewayTerms {
+pub struct GatewayParameters {
     /// Name of this instance.
     pub instance: InstanceId,
     /// Its availability zone.
@@ -20,7 +20,7 @@
     pub retry_extra: f64,
     /// Instances among which the extra is shared at least, for as long as an
     /// instance does not know how many there are.
-    pub least_sharers: u32,
+    pub min_sharers: u32,
     /// Share of an engine's memory up to which new sessions start.
     pub memory_limit: f64,
     /// Share of an engine's memory up to which it takes new copies.
--- a/crates/core/src/gateway/placement_ask.rs
+++ b/crates/core/src/gateway/placement_ask.rs
@@ -11,7 +11,7 @@
 
 /// A request that wants a backend server.
 #[derive(Clone, Debug)]
-pub struct PlacementAsk {
+pub struct PlacementRequest {
     /// The request.
     pub request: RequestId,
     /// What it consists of.
@@ -30,7 +30,7 @@
     pub homes: Option<BTreeSet<RegionId>>,
 }
 
-impl PlacementAsk {
+impl PlacementRequest {
     /// Tokens that are likely to come out: the caller's guess is right at the
     /// median; without one, half of the most.
     pub fn likely_tokens(&self) -> u32 {
@@ -48,14 +48,14 @@
     /// Engine that should keep a copy of the session.
     pub backup: Option<Replica>,
     /// What was believed of the first.
-    pub belief: Belief,
+    pub belief: ServerView,
     /// Backend servers that were better but take no more now: they named limits.
     pub passed_over: Vec<BackendId>,
 }
 
 /// What was believed of a backend server when it was chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Belief {
+pub struct ServerView {
     /// Requests that all instances had there.
     pub requests: u32,
     /// Share of its memory that is taken with the new one, 0 where there is none.
@@ -70,7 +70,7 @@
     /// Its engine is leaving and no usable copy exists: move to this engine.
     MoveTo(Replica),
     /// Its engine has started anew since it was sent there, and knows nothing of it.
-    EngineBegunAnew,
+    EngineRestarted,
     /// Backend servers end under requests like it, and it has not begun: end it.
     Withdraw,
 }
@@ -91,7 +91,7 @@
 
 /// A session as it moves from one engine to another.
 #[derive(Clone, Debug)]
-pub struct CarryTarget {
+pub struct FailoverTarget {
     /// The engine to go on at.
     pub replica: Replica,
     /// Engine that should keep a copy from then on.
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -33,7 +33,7 @@
 pub type BackendId = String;
 
 /// Tells apart the lives of backend servers, also of those that are back under their name.
-pub type LifeId = u64;
+pub type IncarnationId = u64;
 
 /// Version of the configuration, assigned by the platform; only grows.
 pub type ConfigVersion = u64;
--- a/crates/core/src/limits/limit_share.rs
+++ b/crates/core/src/limits/limit_share.rs
@@ -22,20 +22,20 @@
 
 /// What a share goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitTerms {
+pub struct LimitParameters {
     /// Time over which wishes are counted: a shorter one follows a burst sooner, a longer
     /// one gives steadier shares.
     pub window: Duration,
     /// Part of a limit that the instances hand out among themselves; the rest covers what
     /// they know late of each other.
-    pub handed_out: f64,
+    pub allocated_fraction: f64,
 }
 
-impl Default for LimitTerms {
+impl Default for LimitParameters {
     fn default() -> Self {
-        LimitTerms {
+        LimitParameters {
             window: Duration::from_secs(1),
-            handed_out: 0.7,
+            allocated_fraction: 0.7,
         }
     }
 }
@@ -50,7 +50,7 @@
 /// Limiting, SIGCOMM 2007, without its buckets).
 #[derive(Clone, Debug)]
 pub struct LimitShare {
-    terms: LimitTerms,
+    terms: LimitParameters,
     wishes: EventRate,
     /// Part of a send that is earned, below 1.
     earned: f64,
@@ -61,7 +61,7 @@
 impl LimitShare {
     /// A share of which `earned` (0 to 1) is earned, drawn by chance so that instances that
     /// begin at the same moment don't send at the same moment.
-    pub fn new(now: Now, terms: LimitTerms, earned: f64) -> Self {
+    pub fn new(now: Now, terms: LimitParameters, earned: f64) -> Self {
         LimitShare {
             terms,
             wishes: EventRate::new(now, terms.window),
@@ -73,7 +73,7 @@
 
     /// Notes a wish; returns whether it is granted. `others` is what the other instances
     /// wish for.
-    pub fn wish(&mut self, now: Now, limit: RequestRate, others: RequestRate) -> bool {
+    pub fn request_grant(&mut self, now: Now, limit: RequestRate, others: RequestRate) -> bool {
         let part = self.part(now, limit, others);
         self.wishes.note(now);
         if part >= 1.0 {
@@ -90,16 +90,16 @@
     /// Part of its wishes that this instance is granted now, at most 1.
     pub fn part(&self, now: Now, limit: RequestRate, others: RequestRate) -> f64 {
         let wanted = self.wishes.per_s(now) + others.per_s();
-        let handed_out = (limit.per_s() * self.terms.handed_out).max(PROBES_PER_S);
-        match wanted > handed_out {
-            true => handed_out / wanted,
+        let allocated_fraction = (limit.per_s() * self.terms.allocated_fraction).max(PROBES_PER_S);
+        match wanted > allocated_fraction {
+            true => allocated_fraction / wanted,
             false => 1.0,
         }
     }
 
     /// Wishes of this instance.
     pub fn wanted(&self, now: Now) -> RequestRate {
-        RequestRate::of_per_s(self.wishes.per_s(now))
+        RequestRate::from_per_s(self.wishes.per_s(now))
     }
 
     /// The same, noted as told to the others.
@@ -117,7 +117,7 @@
 
     /// Time until so many further wishes are granted, if this instance goes on to wish for as
     /// much.
-    pub fn time_for(
+    pub fn time_until_grants(
         &self,
         now: Now,
         limit: RequestRate,
--- a/crates/core/src/limits/request_rate.rs
+++ b/crates/core/src/limits/request_rate.rs
@@ -23,7 +23,7 @@
     pub const ZERO: RequestRate = RequestRate { milli_per_s: 0 };
 
     /// A rate; less than a thousandth counts as nothing, and so do negative rates.
-    pub fn of_per_s(per_s: f64) -> RequestRate {
+    pub fn from_per_s(per_s: f64) -> RequestRate {
         let milli = (per_s * MILLI).clamp(0.0, LARGEST_MILLI_PER_S);
         RequestRate {
             milli_per_s: milli as u64,
--- a/crates/core/src/limits/retry_budget.rs
+++ b/crates/core/src/limits/retry_budget.rs
@@ -20,14 +20,14 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget::with_terms(RETRIES_PER_REQUEST, MAX_SAVED)
+        RetryBudget::with_parameters(RETRIES_PER_REQUEST, MAX_SAVED)
     }
 }
 
 impl RetryBudget {
     /// A budget in which each fresh request earns `per_request` retries and at
     /// most `max_saved` are saved up.
-    pub fn with_terms(per_request: f64, max_saved: f64) -> Self {
+    pub fn with_parameters(per_request: f64, max_saved: f64) -> Self {
         RetryBudget {
             per_request,
             max_saved,
--- a/crates/core/src/limits/server_limits.rs
+++ b/crates/core/src/limits/server_limits.rs
@@ -9,10 +9,10 @@
 use serde::Serialize;
 
 use crate::FleetMembers;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::LimitShare;
-use crate::LimitTerms;
-use crate::NamedLimit;
+use crate::LimitParameters;
+use crate::DeclaredLimit;
 use crate::Now;
 use crate::RequestId;
 use crate::RequestRate;
@@ -40,7 +40,7 @@
 
 /// What an instance tells the others of a server's limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct AdvertisedLimit {
     /// The server.
     pub server: ServerLife,
     /// Its limit, `None` if it names none any more.
@@ -81,28 +81,28 @@
     told_at: Option<Now>,
     share: LimitShare,
     /// Until when callers that were refused because of it were told to wait.
-    awaited_until: Now,
+    reserved_until: Now,
 }
 
 /// A request that may be sent.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
-    life: LifeId,
+    life: IncarnationId,
     at: Now,
 }
 
 /// The limits by life.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLimits {
-    by_life: BTreeMap<LifeId, KnownLimit>,
+    by_life: BTreeMap<IncarnationId, KnownLimit>,
     grants: HashMap<RequestId, Grant>,
     version: u64,
-    terms: LimitTerms,
+    terms: LimitParameters,
 }
 
 impl ServerLimits {
     /// Changes what the shares of limits go by that are named from now on.
-    pub fn set_terms(&mut self, terms: LimitTerms) {
+    pub fn set_terms(&mut self, terms: LimitParameters) {
         self.terms = terms;
     }
 
@@ -115,14 +115,14 @@
         &mut self,
         now: Now,
         server: &ServerLife,
-        named: NamedLimit,
+        named: DeclaredLimit,
         sent_at: Now,
         earned: f64,
     ) -> Option<LimitChange> {
         let limit = match named {
-            NamedLimit::Unreadable => return None,
-            NamedLimit::NotTold => None,
-            NamedLimit::Of(rate) => Some(rate),
+            DeclaredLimit::Unreadable => return None,
+            DeclaredLimit::Absent => None,
+            DeclaredLimit::Of(rate) => Some(rate),
         };
         let known = self.by_life.get(&server.life);
         let is_later = known.is_none_or(|known| sent_at >= known.word.heard_at);
@@ -143,7 +143,7 @@
     }
 
     /// Notes what another instance tells.
-    pub fn hear_told(&mut self, now: Now, told: &ToldLimit, earned: f64) -> Option<LimitChange> {
+    pub fn apply_advertised(&mut self, now: Now, told: &AdvertisedLimit, earned: f64) -> Option<LimitChange> {
         let heard_at = FleetMembers::confirmed_at(now, Duration::from_millis(told.age_ms));
         let known = self.by_life.get(&told.server.life);
         // Two relays that took the same word from each other would make it younger for ever.
@@ -177,7 +177,7 @@
             limited_since: now,
             told_at: None,
             share: LimitShare::new(now, terms, earned),
-            awaited_until: Now::ZERO,
+            reserved_until: Now::ZERO,
         });
         let before = std::mem::replace(&mut known.word, word).limit;
         if before == word.limit {
@@ -196,23 +196,23 @@
     }
 
     /// Whether a server is limited now.
-    pub fn has(&self, life: LifeId) -> bool {
+    pub fn has(&self, life: IncarnationId) -> bool {
         self.limit_of(life).is_some()
     }
 
     /// Its limit.
-    pub fn limit_of(&self, life: LifeId) -> Option<RequestRate> {
+    pub fn limit_of(&self, life: IncarnationId) -> Option<RequestRate> {
         self.by_life.get(&life)?.word.limit
     }
 
     /// When this instance learnt that a life has a limit, if it has one.
-    pub fn limited_since(&self, life: LifeId) -> Option<Now> {
+    pub fn limited_since(&self, life: IncarnationId) -> Option<Now> {
         let known = self.by_life.get(&life)?;
         known.word.limit.map(|_| known.limited_since)
     }
 
     /// Lives that are limited now.
-    pub fn lives(&self) -> BTreeSet<LifeId> {
+    pub fn lives(&self) -> BTreeSet<IncarnationId> {
         let limited = self.by_life.iter();
         let limited = limited.filter(|(_, known)| known.word.limit.is_some());
         limited.map(|(life, _)| *life).collect()
@@ -225,16 +225,16 @@
 
     /// Whether something may be sent to a life now, of which the others want `others`: an
     /// unlimited one gets all.
-    pub fn wish(&mut self, now: Now, life: LifeId, others: RequestRate) -> bool {
+    pub fn request_grant(&mut self, now: Now, life: IncarnationId, others: RequestRate) -> bool {
         let Some(known) = self.by_life.get_mut(&life) else {
             return true;
         };
         let limit = known.word.limit;
-        limit.is_none_or(|limit| known.share.wish(now, limit, others))
+        limit.is_none_or(|limit| known.share.request_grant(now, limit, others))
     }
 
     /// Keeps the grant of a request that is sent a little later.
-    pub fn keep_grant(&mut self, now: Now, request: &str, life: LifeId) {
+    pub fn keep_grant(&mut self, now: Now, request: &str, life: IncarnationId) {
         if self.has(life) {
             let grant = Grant { life, at: now };
             self.grants.insert(request.to_owned(), grant);
@@ -242,7 +242,7 @@
     }
 
     /// Uses the grant of a request, if it has one for this life.
-    pub fn use_grant(&mut self, now: Now, request: &str, life: LifeId) -> bool {
+    pub fn consume_grant(&mut self, now: Now, request: &str, life: IncarnationId) -> bool {
         let grant = self.grants.remove(request);
         let holds = |grant: &Grant| now.saturating_sub(grant.at) < GRANT_LIFETIME;
         grant.filter(holds).is_some_and(|grant| grant.life == life)
@@ -254,19 +254,19 @@
     }
 
     /// What this instance wishes to send to a life.
-    pub fn wanted(&self, now: Now, life: LifeId) -> RequestRate {
+    pub fn wanted(&self, now: Now, life: IncarnationId) -> RequestRate {
         let known = self.by_life.get(&life);
         known.map_or(RequestRate::ZERO, |known| known.share.wanted(now))
     }
 
     /// Drops what is known of a life that has ended.
-    pub fn forget(&mut self, life: LifeId) {
+    pub fn forget(&mut self, life: IncarnationId) {
         let was_known = self.by_life.remove(&life).is_some();
         self.version += u64::from(was_known);
     }
 
     /// What this instance wishes for, by server, and as which the others hear it.
-    pub fn tell_wanted(&mut self, now: Now) -> Vec<(String, RequestRate)> {
+    pub fn advertise_demand(&mut self, now: Now) -> Vec<(String, RequestRate)> {
         let limited = self.by_life.values_mut().filter(|k| k.word.limit.is_some());
         let told = limited.map(|known| (known.server.id.clone(), known.share.tell(now)));
         told.filter(|(_, wanted)| !wanted.is_zero()).collect()
@@ -291,7 +291,7 @@
 
     /// What to tell the others now: what this instance was told itself, or by a relay also
     /// what it has heard.
-    pub fn told(&mut self, now: Now, is_relay: bool) -> Vec<ToldLimit> {
+    pub fn told(&mut self, now: Now, is_relay: bool) -> Vec<AdvertisedLimit> {
         let age = |known: &KnownLimit| now.saturating_sub(known.word.heard_at);
         let is_told = |known: &&mut KnownLimit| {
             let is_recent = known.word.limit.is_some() || age(known) < WITHDRAWAL_TOLD_FOR;
@@ -302,7 +302,7 @@
         due.truncate(MOST_TOLD);
         let told = due.into_iter().map(|known| {
             known.told_at = Some(now);
-            ToldLimit {
+            AdvertisedLimit {
                 server: known.server.clone(),
                 limit: known.word.limit,
                 age_ms: age(known).as_millis() as u64,
@@ -313,29 +313,29 @@
 
     /// Time until this instance may send a life one request more than were told to wait for
     /// it; `None` if it may send now.
-    pub fn turn_in(&self, now: Now, life: LifeId, others: RequestRate) -> Option<Duration> {
+    pub fn time_until_turn(&self, now: Now, life: IncarnationId, others: RequestRate) -> Option<Duration> {
         let known = self.by_life.get(&life)?;
         let limit = known.word.limit?;
         if known.share.part(now, limit, others) >= 1.0 {
             return None;
         }
-        let first = known.share.time_for(now, limit, others, 1);
-        let second = known.share.time_for(now, limit, others, 2);
+        let first = known.share.time_until_grants(now, limit, others, 1);
+        let second = known.share.time_until_grants(now, limit, others, 2);
         let spacing = second.saturating_sub(first);
-        let next = (known.awaited_until + spacing).saturating_sub(now);
+        let next = (known.reserved_until + spacing).saturating_sub(now);
         Some(first.max(next.min(LONGEST_QUEUE)))
     }
 
     /// Notes that a caller was told to come back after so long; the next one is told a later
     /// time.
-    pub fn await_turn(&mut self, now: Now, life: LifeId, left: Duration) {
+    pub fn reserve_turn(&mut self, now: Now, life: IncarnationId, left: Duration) {
         if let Some(known) = self.by_life.get_mut(&life) {
-            known.awaited_until = now + left;
+            known.reserved_until = now + left;
         }
     }
 
     /// Drops what is known of lives that are long gone, and grants that were not used.
-    pub fn expire(&mut self, now: Now, is_listed: impl Fn(LifeId) -> bool) {
+    pub fn expire(&mut self, now: Now, is_listed: impl Fn(IncarnationId) -> bool) {
         self.grants
             .retain(|_, grant| now.saturating_sub(grant.at) < GRANT_LIFETIME);
         let before = self.by_life.len();
--- a/crates/core/src/membership/delay_estimate.rs
+++ b/crates/core/src/membership/delay_estimate.rs
@@ -6,7 +6,7 @@
 
 /// By how many parts of the time that passes the usual way may get longer: clocks of machines
 /// drift apart.
-const DRIFT: f64 = 0.001;
+const CLOCK_DRIFT_RATIO: f64 = 0.001;
 
 /// Compares the times that a peer's process tells of its own clock with those at which its
 /// messages are handled. The least difference stands for the usual way; what a message took
@@ -20,25 +20,25 @@
 
 impl DelayEstimate {
     /// Begins with the first message of a process, which is taken to have come the usual way.
-    pub fn new(said_at: Now, handled_at: Now) -> Self {
+    pub fn new(sent_at: Now, handled_at: Now) -> Self {
         DelayEstimate {
-            least_us: difference_us(said_at, handled_at),
+            least_us: difference_us(sent_at, handled_at),
             handled_at,
         }
     }
 
     /// Notes a message; returns how much longer than the usual way it took.
-    pub fn delay(&mut self, said_at: Now, handled_at: Now) -> Duration {
+    pub fn delay(&mut self, sent_at: Now, handled_at: Now) -> Duration {
         let passed = handled_at.saturating_sub(self.handled_at);
-        let drift_us = passed.mul_f64(DRIFT).as_micros() as i64;
+        let drift_us = passed.mul_f64(CLOCK_DRIFT_RATIO).as_micros() as i64;
         self.handled_at = handled_at;
-        let difference_us = difference_us(said_at, handled_at);
+        let difference_us = difference_us(sent_at, handled_at);
         self.least_us = difference_us.min(self.least_us + drift_us);
         Duration::from_micros((difference_us - self.least_us).unsigned_abs())
     }
 }
 
-fn difference_us(said_at: Now, handled_at: Now) -> i64 {
+fn difference_us(sent_at: Now, handled_at: Now) -> i64 {
     let us = |at: Now| i64::try_from(at.as_micros()).unwrap_or(i64::MAX);
-    us(handled_at).saturating_sub(us(said_at))
+    us(handled_at).saturating_sub(us(sent_at))
 }
--- a/crates/core/src/membership/fleet_members.rs
+++ b/crates/core/src/membership/fleet_members.rs
@@ -21,25 +21,25 @@
 
 pub use fan_out::FanOut;
 
-use fan_out::RELAY_BEAT;
+use fan_out::RELAY_HEARTBEAT_INTERVAL;
 
 /// Shortest time between two heartbeats: news and loads are at most this old
 /// in a small fleet.
-const SHORTEST_BEAT: Duration = Duration::from_millis(200);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time between two heartbeats per instance that hears them, so that what an
 /// instance receives grows no further.
-const BEAT_PER_MEMBER: Duration = Duration::from_millis(12);
+const HEARTBEAT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(12);
 
 /// Longest time between two heartbeats: what an instance tells counts for 3 s,
 /// and two in a row may be lost.
-const LONGEST_BEAT: Duration = Duration::from_secs(1);
+const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Silence after which an instance counts as gone, in heartbeats.
-const SILENT_BEATS: u32 = 6;
+const SILENT_HEARTBEATS: u32 = 6;
 
 /// Shortest silence after which an instance counts as gone.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(1_500);
+const MIN_SILENCE: Duration = Duration::from_millis(1_500);
 
 /// How long an instance that fell silent is still sent heartbeats, less often:
 /// longer than most cuts last.
@@ -48,7 +48,7 @@
 /// Added to the age of what a peer says was confirmed: the way of a heartbeat and
 /// the wait at both ends and at a relay. Without it, each instance that passes the age on
 /// would make it younger, and few would see an outage.
-const HEARTBEAT_WAY: Duration = Duration::from_millis(100);
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
 /// What an instance says of itself with each heartbeat.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,7 +60,7 @@
     /// Number of the message within that life.
     pub sequence: u64,
     /// Time on its own clock at which it said this.
-    pub said_at: Now,
+    pub sent_at: Now,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Thousandths of a processor core that it has.
@@ -110,7 +110,7 @@
     own_address: SocketAddr,
     seeds: BTreeSet<SocketAddr>,
     members: BTreeMap<SocketAddr, Member>,
-    to_greet: BTreeSet<SocketAddr>,
+    immediate_targets: BTreeSet<SocketAddr>,
     has_relays: bool,
     beats: u64,
 }
@@ -132,7 +132,7 @@
             own_address,
             seeds: seeds.collect(),
             members: BTreeMap::new(),
-            to_greet: BTreeSet::new(),
+            immediate_targets: BTreeSet::new(),
             has_relays: false,
             beats: 0,
         }
@@ -148,7 +148,7 @@
         });
         let Some(heard) = &mut member.heard else {
             let order = MessageOrder::new(state.incarnation.clone(), state.sequence);
-            let delay = DelayEstimate::new(state.said_at, now);
+            let delay = DelayEstimate::new(state.sent_at, now);
             member.heard = Some(Heard {
                 state,
                 order,
@@ -156,14 +156,14 @@
                 took: Duration::ZERO,
             });
             member.heard_at = now;
-            return Arrival::FirstOfLife;
+            return Arrival::FirstOfIncarnation;
         };
         let arrival = heard.order.arrive(&state.incarnation, state.sequence);
         heard.took = match arrival {
             Arrival::Old => return arrival,
-            Arrival::Newer => heard.delay.delay(state.said_at, now),
-            Arrival::FirstOfLife => {
-                heard.delay = DelayEstimate::new(state.said_at, now);
+            Arrival::Newer => heard.delay.delay(state.sent_at, now),
+            Arrival::FirstOfIncarnation => {
+                heard.delay = DelayEstimate::new(state.sent_at, now);
                 Duration::ZERO
             }
         };
@@ -177,14 +177,14 @@
     }
 
     /// How much longer than usual the last heartbeat of an instance took.
-    pub fn delay_of(&self, address: SocketAddr) -> Duration {
+    pub fn heartbeat_delay(&self, address: SocketAddr) -> Duration {
         let member = self.members.get(&address);
         let heard = member.and_then(|member| member.heard.as_ref());
         heard.map_or(Duration::ZERO, |heard| heard.took)
     }
 
     /// Notes that somebody knows an instance at an address.
-    pub fn hear_of(&mut self, now: Now, address: SocketAddr) {
+    pub fn learn_address(&mut self, now: Now, address: SocketAddr) {
         if address != self.own_address {
             let unheard = Member {
                 heard: None,
@@ -196,31 +196,31 @@
 
     /// Notes that an instance which came to this one by itself knows few others:
     /// the next heartbeat goes there, too.
-    pub fn greet(&mut self, address: SocketAddr) {
-        self.to_greet.insert(address);
+    pub fn queue_immediate_heartbeat(&mut self, address: SocketAddr) {
+        self.immediate_targets.insert(address);
     }
 
     /// Time until the next heartbeat.
-    pub fn beat_interval(&self, now: Now) -> Duration {
-        match self.is_candidate(now) {
-            true => RELAY_BEAT,
-            false => self.usual_interval(now),
+    pub fn heartbeat_interval(&self, now: Now) -> Duration {
+        match self.is_relay_candidate(now) {
+            true => RELAY_HEARTBEAT_INTERVAL,
+            false => self.base_heartbeat_interval(now),
         }
     }
 
     /// Time between the heartbeats of most instances.
-    fn usual_interval(&self, now: Now) -> Duration {
+    fn base_heartbeat_interval(&self, now: Now) -> Duration {
         let hearing = match self.has_relays {
             true => self.neighbours(now).len(),
             false => self.members.len(),
         };
         let hearing = u32::try_from(hearing).unwrap_or(u32::MAX);
-        (BEAT_PER_MEMBER * hearing).clamp(SHORTEST_BEAT, LONGEST_BEAT)
+        (HEARTBEAT_INTERVAL_PER_MEMBER * hearing).clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
     }
 
     /// When something was confirmed of which a heartbeat tells the age.
     pub fn confirmed_at(now: Now, age: Duration) -> Now {
-        now.saturating_sub(age + HEARTBEAT_WAY)
+        now.saturating_sub(age + HEARTBEAT_TRANSIT)
     }
 
     /// Live instances that have a newer configuration or list.
@@ -308,6 +308,6 @@
 
     /// Silence after which an instance counts as gone.
     fn longest_silence(&self, now: Now) -> Duration {
-        SHORTEST_SILENCE.max(self.usual_interval(now) * SILENT_BEATS)
+        MIN_SILENCE.max(self.base_heartbeat_interval(now) * SILENT_HEARTBEATS)
     }
 }
--- a/crates/core/src/membership/fleet_members/fan_out.rs
+++ b/crates/core/src/membership/fleet_members/fan_out.rs
@@ -17,7 +17,7 @@
 
 /// Instances up to which heartbeats go to everybody: below it, passing on saves
 /// few messages and costs a wait.
-const DIRECT_FLEET: usize = 32;
+const RELAY_MEMBER_THRESHOLD: usize = 32;
 
 /// Relays of an availability zone. Heartbeats go to them by turns, so that the
 /// loss of one makes what is known older by a heartbeat, not wrong.
@@ -29,45 +29,45 @@
 
 /// Time between two heartbeats of relays: the sums of a zone are this old
 /// elsewhere.
-pub(super) const RELAY_BEAT: Duration = Duration::from_millis(300);
+pub(super) const RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Shortest time between two heartbeats of a relay.
-const SHORTEST_RELAY_BEAT: Duration = Duration::from_millis(100);
+const MIN_RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two heartbeats of a relay for each backend server that its sums name, so
 /// that the bytes between zones stay the same from 100 to 300 of them, and other zones hear
 /// of choices sooner where there are fewer.
-const RELAY_BEAT_PER_SUM: Duration = Duration::from_millis(1);
+const RELAY_HEARTBEAT_INTERVAL_PER_SUM: Duration = Duration::from_millis(1);
 
 /// Silence after which an instance is no relay of this zone any more: four
 /// heartbeats of a relay.
 const RELAY_SILENCE: Duration = Duration::from_millis(1_200);
 
 /// The same for relays of other zones, which beat to each zone by turns.
-const FAR_SILENCE: Duration = Duration::from_millis(2_500);
+const REMOTE_RELAY_SILENCE: Duration = Duration::from_millis(2_500);
 
 /// Addresses that nobody was heard at yet and that one heartbeat is sent to: the
 /// relays of three zones, as another instance tells them.
-const UNHEARD_PER_BEAT: usize = 6;
+const UNCONFIRMED_PER_HEARTBEAT: usize = 6;
 
 /// How long an address where nobody is heard is tried: the answer to a first
 /// heartbeat takes milliseconds, and whoever knows this instance already gives none.
-const UNHEARD_FOR: Duration = Duration::from_secs(2);
+const UNCONFIRMED_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Other instances that one heartbeat is sent to by chance, so that zones find
 /// each other again whatever was lost.
-const CONTACTS_PER_BEAT: usize = 1;
+const RANDOM_CONTACTS_PER_HEARTBEAT: usize = 1;
 
 /// One in this many heartbeats of a small fleet also goes to instances that fell
 /// silent.
-const SILENT_EVERY: u64 = 5;
+const SILENT_TARGETS_EVERY: u64 = 5;
 
 /// Addresses of others that one heartbeat of a small fleet tells.
-const TOLD_ADDRESSES: usize = 8;
+const ADVERTISED_ADDRESSES: usize = 8;
 
 /// Time between two bundles of a relay per instance that gets them, so that what it sends is
 /// bounded.
-const BUNDLE_PER_NEIGHBOUR: Duration = Duration::from_micros(300);
+const BUNDLE_INTERVAL_PER_NEIGHBOUR: Duration = Duration::from_micros(300);
 
 /// Who is sent one heartbeat.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -77,7 +77,7 @@
     /// The relay that passes it on within the zone.
     pub relay: Option<SocketAddr>,
     /// Whether this instance is a relay and passes it on itself.
-    pub passes_on: bool,
+    pub forwards_to_zone: bool,
     /// Relays of other zones, which pass it on there; they get the sums of this
     /// zone with it.
     pub far: Vec<SocketAddr>,
@@ -85,10 +85,10 @@
 
 impl FleetMembers {
     /// Time until the next heartbeat of a relay whose sums name so many backend servers.
-    pub fn relay_interval(sums: usize) -> Duration {
+    pub fn relay_heartbeat_interval(sums: usize) -> Duration {
         let sums = u32::try_from(sums).unwrap_or(u32::MAX);
-        let interval = RELAY_BEAT_PER_SUM.saturating_mul(sums);
-        interval.clamp(SHORTEST_RELAY_BEAT, RELAY_BEAT)
+        let interval = RELAY_HEARTBEAT_INTERVAL_PER_SUM.saturating_mul(sums);
+        interval.clamp(MIN_RELAY_HEARTBEAT_INTERVAL, RELAY_HEARTBEAT_INTERVAL)
     }
 
     /// Whether the fleet is large enough for relays: once one instance knows that
@@ -103,23 +103,23 @@
         self.members.retain(|_, member| {
             let lifetime = match member.heard {
                 Some(_) => REMEMBERED,
-                None => UNHEARD_FOR,
+                None => UNCONFIRMED_LIFETIME,
             };
             now.saturating_sub(member.heard_at) < lifetime
         });
-        self.has_relays |= self.members.len() >= DIRECT_FLEET;
+        self.has_relays |= self.members.len() >= RELAY_MEMBER_THRESHOLD;
         let mut fan_out = match self.has_relays {
             true => self.by_relays(now, random),
-            false => self.to_everybody(now),
+            false => self.direct_fan_out(now),
         };
-        let greeted = std::mem::take(&mut self.to_greet).into_iter();
+        let greeted = std::mem::take(&mut self.immediate_targets).into_iter();
         let greeted = greeted.filter(|address| !fan_out.direct.contains(address));
         fan_out.direct.extend(greeted.collect::<Vec<_>>());
         fan_out
     }
 
-    fn to_everybody(&self, now: Now) -> FanOut {
-        let with_silent = self.beats.is_multiple_of(SILENT_EVERY);
+    fn direct_fan_out(&self, now: Now) -> FanOut {
+        let with_silent = self.beats.is_multiple_of(SILENT_TARGETS_EVERY);
         let silence = self.longest_silence(now);
         let is_live = |member: &Member| now.saturating_sub(member.heard_at) < silence;
         let members = self.members.iter();
@@ -138,7 +138,7 @@
         let turn = self.beats as usize;
         let ranked = self.ranked(now, &self.zone, RELAY_SILENCE);
         let relays: Vec<SocketAddr> = ranked.into_iter().take(RELAYS_PER_ZONE).collect();
-        let passes_on = relays.contains(&self.own_address);
+        let forwards_to_zone = relays.contains(&self.own_address);
         let by_turns = relays.get(turn % relays.len().max(1)).copied();
         let mut direct = self.contacts(random);
         if relays == [self.own_address] {
@@ -147,20 +147,20 @@
         }
         FanOut {
             direct,
-            relay: by_turns.filter(|_| !passes_on),
-            passes_on,
-            far: match passes_on {
-                true => self.far_relays(now, turn),
+            relay: by_turns.filter(|_| !forwards_to_zone),
+            forwards_to_zone,
+            far: match forwards_to_zone {
+                true => self.remote_relays(now, turn),
                 false => Vec::new(),
             },
         }
     }
 
     /// One relay of each other zone, by turns.
-    fn far_relays(&self, now: Now, turn: usize) -> Vec<SocketAddr> {
+    fn remote_relays(&self, now: Now, turn: usize) -> Vec<SocketAddr> {
         let zones = self.other_zones().into_iter();
         let relay_of = |zone: ZoneId| {
-            let mut ranked = self.ranked(now, &zone, FAR_SILENCE);
+            let mut ranked = self.ranked(now, &zone, REMOTE_RELAY_SILENCE);
             if ranked.is_empty() {
                 ranked = self.ranked(now, &zone, REMEMBERED);
             }
@@ -182,27 +182,27 @@
         let unheard = unheard.into_iter().map(|(address, _)| *address);
         let mut unheard: Vec<SocketAddr> = unheard.collect();
         shuffle(&mut unheard, random);
-        unheard.truncate(UNHEARD_PER_BEAT);
+        unheard.truncate(UNCONFIRMED_PER_HEARTBEAT);
         let heard = heard.into_iter().filter(|(_, m)| is_elsewhere(m));
         let mut heard: Vec<SocketAddr> = heard.map(|(address, _)| *address).collect();
         shuffle(&mut heard, random);
-        heard.truncate(CONTACTS_PER_BEAT);
+        heard.truncate(RANDOM_CONTACTS_PER_HEARTBEAT);
         unheard.into_iter().chain(heard).collect()
     }
 
     /// Addresses of others for a heartbeat: the relays of each zone, or in a small
     /// fleet some by chance.
-    pub fn told_addresses(&self, now: Now, random: &mut impl Rng) -> Vec<SocketAddr> {
+    pub fn advertised_addresses(&self, now: Now, random: &mut impl Rng) -> Vec<SocketAddr> {
         if !self.has_relays {
             let live = self.live(now).map(|(address, _)| address);
             let mut addresses: Vec<SocketAddr> = live.collect();
             shuffle(&mut addresses, random);
-            addresses.truncate(TOLD_ADDRESSES);
+            addresses.truncate(ADVERTISED_ADDRESSES);
             return addresses;
         }
         let zones = self.other_zones().into_iter().chain([self.zone.clone()]);
         let relays_of = |zone: ZoneId| {
-            let ranked = self.ranked(now, &zone, FAR_SILENCE).into_iter();
+            let ranked = self.ranked(now, &zone, REMOTE_RELAY_SILENCE).into_iter();
             ranked.take(RELAYS_PER_ZONE)
         };
         zones.flat_map(relays_of).collect()
@@ -216,7 +216,7 @@
             let state = member.state();
             state.is_some_and(|state| state.zone == self.zone)
         };
-        let silence = super::SHORTEST_SILENCE.max(super::LONGEST_BEAT * super::SILENT_BEATS);
+        let silence = super::MIN_SILENCE.max(super::MAX_HEARTBEAT_INTERVAL * super::SILENT_HEARTBEATS);
         let is_heard = |member: &Member| now.saturating_sub(member.heard_at) < silence;
         let near = members.filter(|(_, member)| is_near(member) && is_heard(member));
         near.map(|(address, _)| *address).collect()
@@ -225,7 +225,7 @@
     /// Time in which a relay gathers heartbeats before it passes them on.
     pub fn bundle_interval(&self, now: Now) -> Duration {
         let neighbours = u32::try_from(self.neighbours(now).len()).unwrap_or(u32::MAX);
-        BUNDLE_PER_NEIGHBOUR * neighbours
+        BUNDLE_INTERVAL_PER_NEIGHBOUR * neighbours
     }
 
     /// Whether the shares of an instance count by themselves: those of other zones
@@ -240,7 +240,7 @@
     }
 
     /// Whether this instance is a relay, or soon may be one.
-    pub(super) fn is_candidate(&self, now: Now) -> bool {
+    pub(super) fn is_relay_candidate(&self, now: Now) -> bool {
         self.is_among_first(now, CANDIDATES)
     }
 
@@ -250,9 +250,9 @@
     }
 
     /// Other zones of which an instance was heard lately.
-    pub(super) fn zones_heard(&self, now: Now) -> Vec<ZoneId> {
+    pub(super) fn live_zones(&self, now: Now) -> Vec<ZoneId> {
         let zones = self.other_zones().into_iter();
-        let zones = zones.filter(|zone| !self.ranked(now, zone, FAR_SILENCE).is_empty());
+        let zones = zones.filter(|zone| !self.ranked(now, zone, REMOTE_RELAY_SILENCE).is_empty());
         zones.collect()
     }
 
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -6,8 +6,8 @@
 use super::FleetMembers;
 use super::MemberState;
 use crate::Now;
-use crate::ReadingWaits;
-use crate::directory::reading_waits::SLOT;
+use crate::ReadTiming;
+use crate::directory::read_timing::READ_DELAY_STEP;
 use crate::rendezvous_rank;
 
 /// Readers of the directory in each availability zone.
@@ -22,11 +22,11 @@
 
 /// Age from which the list counts as lost, on top of two heartbeats: engines are then asked
 /// themselves, which has a price.
-const LOST_AFTER: Duration = Duration::from_millis(1_300);
+const STALE_AFTER: Duration = Duration::from_millis(1_300);
 
 /// Readers of the list in each availability zone of a fleet with relays while nobody's
 /// knowledge is fresh: a whole list is many pages.
-const READERS_IN_TROUBLE: usize = 2;
+const READERS_DURING_OUTAGE: usize = 2;
 
 /// Time for which the same instances try to read the list in trouble; then it is the turn
 /// of others, of which one may be let in where these are not.
@@ -35,14 +35,14 @@
 impl FleetMembers {
     /// Whether the list that was confirmed then counts as lost.
     pub fn is_lost(&self, now: Now, confirmed_at: Option<Now>) -> bool {
-        let limit = LOST_AFTER + self.usual_interval(now) * 2;
+        let limit = STALE_AFTER + self.base_heartbeat_interval(now) * 2;
         confirmed_at.is_none_or(|at| now.saturating_sub(at) > limit)
     }
 
     /// Whether what was confirmed then is older than readers and heartbeats let
     /// it get.
     pub fn is_old(&self, now: Now, confirmed_at: Option<Now>) -> bool {
-        confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).old_after())
+        confirmed_at.is_none_or(|at| now.saturating_sub(at) > self.waits(now).max_state_age())
     }
 
     /// Whether this instance should watch the platform's directory: by its rank in its zone
@@ -53,8 +53,8 @@
             return true;
         };
         if self.is_old(now, Some(confirmed_at)) {
-            let old_after = self.waits(now).old_after();
-            return now.saturating_sub(confirmed_at) >= old_after + self.slot(now);
+            let max_state_age = self.waits(now).max_state_age();
+            return now.saturating_sub(confirmed_at) >= max_state_age + self.slot(now);
         }
         can_read
             && self.is_reading_zone(now)
@@ -67,16 +67,16 @@
         let by_turns = self.has_relays || confirmed_at.is_none();
         if by_turns && self.is_old(now, confirmed_at) {
             let turn = format!("{}/{}", self.zone, now.as_secs() / TURN.as_secs());
-            return self.place(&turn, now, |_| true) < READERS_IN_TROUBLE;
+            return self.place(&turn, now, |_| true) < READERS_DURING_OUTAGE;
         }
         self.reads(now, confirmed_at, can_read)
     }
 
     /// The waits of a change in this fleet.
-    pub fn waits(&self, now: Now) -> ReadingWaits {
-        ReadingWaits {
+    pub fn waits(&self, now: Now) -> ReadTiming {
+        ReadTiming {
             has_relays: self.has_relays,
-            beat: self.usual_interval(now),
+            beat: self.base_heartbeat_interval(now),
         }
     }
 
@@ -84,14 +84,14 @@
     fn slot(&self, now: Now) -> Duration {
         let place = self.place(&self.zone, now, |_| true);
         let place = u32::try_from(place).unwrap_or(u32::MAX);
-        SLOT.saturating_mul(place).min(self.waits(now).last_slot())
+        READ_DELAY_STEP.saturating_mul(place).min(self.waits(now).max_read_delay())
     }
 
     fn is_reading_zone(&self, now: Now) -> bool {
         if !self.has_relays {
             return true;
         }
-        let zones = self.zones_heard(now);
+        let zones = self.live_zones(now);
         let zones = zones.iter().map(String::as_str).chain([self.zone.as_str()]);
         let rank = rendezvous_rank(READERS_TOPIC, zones);
         rank.iter()
--- a/crates/core/src/membership/message_order.rs
+++ b/crates/core/src/membership/message_order.rs
@@ -5,13 +5,13 @@
 /// Earlier lives that are remembered, so that a late message of one changes
 /// nothing: a message is late by seconds, a process restarts a few times within
 /// them at most.
-const EARLIER_LIVES: usize = 4;
+const MAX_EARLIER_INCARNATIONS: usize = 4;
 
 /// What a message is to those that came before it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Arrival {
     /// The first of this life.
-    FirstOfLife,
+    FirstOfIncarnation,
     /// Newer than all of this life.
     Newer,
     /// Repeated, overtaken, or of an earlier life; it must change nothing.
@@ -55,9 +55,9 @@
         }
         let before = std::mem::replace(&mut self.incarnation, incarnation.clone());
         self.earlier.push(before);
-        let surplus = self.earlier.len().saturating_sub(EARLIER_LIVES);
+        let surplus = self.earlier.len().saturating_sub(MAX_EARLIER_INCARNATIONS);
         self.earlier.drain(..surplus);
         self.sequence = sequence;
-        Arrival::FirstOfLife
+        Arrival::FirstOfIncarnation
     }
 }
--- a/crates/core/src/membership/peer_loads.rs
+++ b/crates/core/src/membership/peer_loads.rs
@@ -40,7 +40,7 @@
 
 /// What one instance tells of loads.
 #[derive(Clone, Debug)]
-pub struct ToldLoads {
+pub struct AdvertisedLoads {
     /// The instance.
     pub instance: InstanceId,
     /// Its process life.
@@ -157,7 +157,7 @@
     }
 
     /// Takes what an instance tells; an older message of it changes nothing.
-    pub fn hear(&mut self, now: Now, told: ToldLoads) {
+    pub fn hear(&mut self, now: Now, told: AdvertisedLoads) {
         if let Some(peer) = self.peers.get_mut(&told.instance) {
             if peer.order.arrive(&told.incarnation, told.sequence) == Arrival::Old {
                 return;
@@ -241,14 +241,14 @@
     }
 
     /// What all others want of a limited server, those that fell silent included.
-    pub fn wanted_of(&self, replica: &str) -> RequestRate {
+    pub fn demand_for(&self, replica: &str) -> RequestRate {
         let silent = self.silent.values();
         let silent = silent.filter_map(|silent| silent.wanted.get(replica));
         silent.fold(self.on(replica).wanted, |sum, wanted| sum.plus(*wanted))
     }
 
     /// Instances that nobody was heard of since a moment, those that are silent included.
-    pub fn unheard_since(&self, at: Now) -> u32 {
+    pub fn count_silent_since(&self, at: Now) -> u32 {
         let is_summed_up = |zone: &ZoneId| {
             let loads = self.zones.get(zone);
             loads.is_some_and(|loads| loads.digest.is_some())
--- a/crates/core/src/refusal.rs
+++ b/crates/core/src/refusal.rs
@@ -51,13 +51,13 @@
 }
 
 /// Advice to a caller when nothing is there that could serve it.
-const NOTHING_THERE_RETRY_AFTER: Duration = Duration::from_secs(2);
+const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Longest advice to a caller whose request is quarantined: past the patience of any.
-const LONGEST_QUARANTINE_ADVICE: Duration = Duration::from_secs(60);
+const MAX_QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// Shortest: the time in which one instance tries such a request.
-const SHORTEST_QUARANTINE_ADVICE: Duration = Duration::from_secs(1);
+const MIN_QUARANTINE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A refusal with the time after which a retry makes sense.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -84,7 +84,7 @@
     pub fn not_ready() -> Self {
         Refusal::new(
             RefusalKind::NotReady,
-            NOTHING_THERE_RETRY_AFTER,
+            NO_BACKEND_RETRY_AFTER,
             "no configuration that names the workspace is in force here",
         )
     }
@@ -94,7 +94,7 @@
     pub fn quarantined(ends: usize, left: Duration) -> Self {
         Refusal::new(
             RefusalKind::Quarantined,
-            left.clamp(SHORTEST_QUARANTINE_ADVICE, LONGEST_QUARANTINE_ADVICE),
+            left.clamp(MIN_QUARANTINE_RETRY_AFTER, MAX_QUARANTINE_RETRY_AFTER),
             format!("{ends} backend servers have ended under requests like this one"),
         )
     }
@@ -121,7 +121,7 @@
     pub fn no_backend(model: &str) -> Self {
         Refusal::new(
             RefusalKind::NoBackend,
-            NOTHING_THERE_RETRY_AFTER,
+            NO_BACKEND_RETRY_AFTER,
             format!("no backend server that serves {model} is available"),
         )
     }
--- a/crates/core/src/servers/failure_pause.rs
+++ b/crates/core/src/servers/failure_pause.rs
@@ -15,12 +15,12 @@
 
 /// Exponential backoff of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FailurePause {
+pub struct FailureBackoff {
     failures: u32,
     paused_until: Now,
 }
 
-impl FailurePause {
+impl FailureBackoff {
     /// Notes a failure.
     pub fn fail(&mut self, now: Now) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
@@ -31,11 +31,11 @@
 
     /// Notes success: the backend server counts as well again.
     pub fn succeed(&mut self) {
-        *self = FailurePause::default();
+        *self = FailureBackoff::default();
     }
 
     /// Whether it is left alone now.
-    pub fn is_paused(&self, now: Now) -> bool {
+    pub fn is_backing_off(&self, now: Now) -> bool {
         self.paused_until > now
     }
 
--- a/crates/core/src/servers/fingerprint.rs
+++ b/crates/core/src/servers/fingerprint.rs
@@ -23,7 +23,7 @@
 
 /// What a fingerprint is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Content<'a> {
+pub struct FingerprintInput<'a> {
     /// Whose request it is; `None` where callers have no keys.
     pub workspace: Option<&'a str>,
     /// Its method.
@@ -38,7 +38,7 @@
 
 impl Fingerprint {
     /// The fingerprint of a request; every process makes the same one of it.
-    pub fn of(content: &Content<'_>) -> Self {
+    pub fn of(content: &FingerprintInput<'_>) -> Self {
         let workspace = match content.workspace {
             Some(workspace) => [b"w", workspace.as_bytes()].concat(),
             None => Vec::new(),
--- a/crates/core/src/servers/proven_contents.rs
+++ b/crates/core/src/servers/proven_contents.rs
@@ -16,12 +16,12 @@
 /// The latest contents of each workspace; a workspace that sends many makes only its own
 /// be forgotten.
 #[derive(Debug, Default)]
-pub struct ProvenContents {
+pub struct KnownGoodRequests {
     /// Latest last.
     workspaces: BTreeMap<u64, VecDeque<(u128, Now)>>,
 }
 
-impl ProvenContents {
+impl KnownGoodRequests {
     /// Notes that a request ran well.
     pub fn note(&mut self, now: Now, fingerprint: Fingerprint) {
         let is_known = self.workspaces.contains_key(&fingerprint.workspace);
@@ -37,7 +37,7 @@
     }
 
     /// When a request with a content last ran well, if that is still known.
-    pub fn proven_at(&self, fingerprint: Fingerprint) -> Option<Now> {
+    pub fn known_good_at(&self, fingerprint: Fingerprint) -> Option<Now> {
         let contents = self.workspaces.get(&fingerprint.workspace)?;
         let mut known = contents.iter();
         let known = known.find(|(content, _)| *content == fingerprint.content);
--- a/crates/core/src/servers/server_notice.rs
+++ b/crates/core/src/servers/server_notice.rs
@@ -23,7 +23,7 @@
 pub enum RetryAfter {
     /// It names none.
     #[default]
-    NotTold,
+    Absent,
     /// After so long.
     In(Duration),
     /// It names one that can't be read.
@@ -46,32 +46,32 @@
 /// The requests a second that a server takes from all instances together, as an answer names
 /// it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum NamedLimit {
+pub enum DeclaredLimit {
     /// It names none.
     #[default]
-    NotTold,
+    Absent,
     /// So many.
     Of(RequestRate),
     /// It names one that can't be read.
     Unreadable,
 }
 
-impl NamedLimit {
+impl DeclaredLimit {
     /// Reads a decimal number of requests a second.
-    pub fn parse(text: &str) -> NamedLimit {
+    pub fn parse(text: &str) -> DeclaredLimit {
         match text.trim().parse::<f64>() {
             Ok(per_s) if per_s.is_finite() && per_s >= 0.0 => {
-                NamedLimit::Of(RequestRate::of_per_s(per_s))
+                DeclaredLimit::Of(RequestRate::from_per_s(per_s))
             }
-            _ => NamedLimit::Unreadable,
+            _ => DeclaredLimit::Unreadable,
         }
     }
 
     /// The rate, where one was read.
     pub fn rate(self) -> Option<RequestRate> {
         match self {
-            NamedLimit::Of(rate) => Some(rate),
-            NamedLimit::NotTold | NamedLimit::Unreadable => None,
+            DeclaredLimit::Of(rate) => Some(rate),
+            DeclaredLimit::Absent | DeclaredLimit::Unreadable => None,
         }
     }
 }
@@ -84,7 +84,7 @@
     /// It turned the request away, and names a time to come back.
     pub retry_after: RetryAfter,
     /// What it takes from all instances together, whatever became of the request.
-    pub limit: NamedLimit,
+    pub limit: DeclaredLimit,
 }
 
 impl ServerNotice {
@@ -100,8 +100,8 @@
         let retry_after = retry_after.filter(|_| turns_away);
         ServerNotice {
             is_leaving,
-            retry_after: retry_after.map_or(RetryAfter::NotTold, RetryAfter::parse),
-            limit: limit.map_or(NamedLimit::NotTold, NamedLimit::parse),
+            retry_after: retry_after.map_or(RetryAfter::Absent, RetryAfter::parse),
+            limit: limit.map_or(DeclaredLimit::Absent, DeclaredLimit::parse),
         }
     }
 
@@ -116,7 +116,7 @@
 
     /// Whether it says something that can't be read.
     pub fn is_unreadable(&self) -> bool {
-        self.retry_after == RetryAfter::Unreadable || self.limit == NamedLimit::Unreadable
+        self.retry_after == RetryAfter::Unreadable || self.limit == DeclaredLimit::Unreadable
     }
 
     /// Whether it says nothing.
@@ -127,7 +127,7 @@
 
 /// What one answer said of its server, with what orders it among other answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HeardNotice {
+pub struct ObservedNotice {
     /// What it said.
     pub notice: ServerNotice,
     /// When what it answers was sent.
@@ -135,5 +135,5 @@
     /// Whether the server would have named its limit in this answer: one that it names no
     /// more it doesn't have. Answers to orders and questions don't say so, nor do failures and
     /// refusals, which another program may have given.
-    pub tells_limits: bool,
+    pub reports_limits: bool,
 }
--- a/crates/core/src/servers/server_rest.rs
+++ b/crates/core/src/servers/server_rest.rs
@@ -16,13 +16,13 @@
 /// was too busy would be too busy again if all that waited came back at the same moment, so
 /// an instance sends one request first, and more once that was taken.
 #[derive(Clone, Debug, Default)]
-pub struct ServerRest {
+pub struct ServerBackoff {
     until: Now,
     /// The request that tries it, and since when.
     trial: Option<(RequestId, Now)>,
 }
 
-impl ServerRest {
+impl ServerBackoff {
     /// Notes that the server asked for rest. Of several the longest counts, in whatever
     /// order their answers are read.
     pub fn asked(&mut self, now: Now, rest: Duration) {
@@ -66,7 +66,7 @@
 
     /// Whether the server, by taking a request, has shown that the rest is behind it.
     /// Requests that it had taken before it asked show nothing.
-    pub fn is_over_by(&self, request: &str) -> bool {
+    pub fn is_ended_by(&self, request: &str) -> bool {
         self.is_tried_by(request)
     }
 
--- a/crates/core/src/servers/suspect.rs
+++ b/crates/core/src/servers/suspect.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
 
 /// Time after its first event from which on a stream is taken to have run well where it
 /// is: a request at fault ends its server soon after that has begun with it.
-pub const RAN_WELL_AFTER: Duration = Duration::from_secs(1);
+pub const KNOWN_GOOD_AFTER: Duration = Duration::from_secs(1);
 
 /// Ends that are remembered of one content; the latest count.
 const MOST_ENDS: usize = 32;
@@ -22,9 +22,9 @@
 
 /// The end of one life of a backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ServerEnd {
+pub struct ServerCrash {
     /// The life.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// When it was seen first.
     pub at: Now,
 }
@@ -33,27 +33,27 @@
 #[derive(Clone, Debug)]
 pub struct Suspect {
     /// Oldest first.
-    ends: Vec<ServerEnd>,
+    ends: Vec<ServerCrash>,
     /// When a request with it last ran well.
-    proven_at: Option<Now>,
+    known_good_at: Option<Now>,
     /// When something of this became known.
     changed_at: Now,
 }
 
 impl Suspect {
     /// Nothing speaks against it yet; it last ran well at a time.
-    pub fn new(now: Now, proven_at: Option<Now>) -> Self {
+    pub fn new(now: Now, known_good_at: Option<Now>) -> Self {
         Suspect {
             ends: Vec::new(),
-            proven_at,
+            known_good_at,
             changed_at: now,
         }
     }
 
     /// Notes an end under it; returns whether that is news. What ran well after an end
     /// did not cause it.
-    pub fn add_end(&mut self, now: Now, end: ServerEnd) -> bool {
-        if self.proven_at.is_some_and(|proven| end.at <= proven) {
+    pub fn add_crash(&mut self, now: Now, end: ServerCrash) -> bool {
+        if self.known_good_at.is_some_and(|proven| end.at <= proven) {
             return false;
         }
         if let Some(known) = self.ends.iter_mut().find(|known| known.life == end.life) {
@@ -73,9 +73,9 @@
     /// Notes that a request with it ran well; returns whether that speaks for it against
     /// ends that counted.
     pub fn prove(&mut self, now: Now, at: Now) -> bool {
-        self.proven_at = self.proven_at.max(Some(at));
+        self.known_good_at = self.known_good_at.max(Some(at));
         let before = self.ends.len();
-        self.ends.retain(|end| Some(end.at) > self.proven_at);
+        self.ends.retain(|end| Some(end.at) > self.known_good_at);
         let is_news = self.ends.len() < before;
         if is_news {
             self.changed_at = now;
@@ -84,13 +84,13 @@
     }
 
     /// The ends that count, oldest first.
-    pub fn ends(&self) -> &[ServerEnd] {
+    pub fn ends(&self) -> &[ServerCrash] {
         &self.ends
     }
 
     /// When a request with it last ran well.
-    pub fn proven_at(&self) -> Option<Now> {
-        self.proven_at
+    pub fn known_good_at(&self) -> Option<Now> {
+        self.known_good_at
     }
 
     /// When something of this became known.
@@ -99,18 +99,18 @@
     }
 
     /// Whether a life ended under it.
-    pub fn has_ended(&self, life: LifeId) -> bool {
+    pub fn has_ended(&self, life: IncarnationId) -> bool {
         self.ends.iter().any(|end| end.life == life)
     }
 
     /// How much some of its ends weigh. Of a content that ran well lately, ends at the same
     /// moment count once.
-    pub fn weight(&self, ends: &[ServerEnd]) -> usize {
+    pub fn weight(&self, ends: &[ServerCrash]) -> usize {
         let Some(first) = ends.first() else {
             return 0;
         };
         let ran_lately = |proven: Now| first.at.saturating_sub(proven) < PROOF_LASTS;
-        match self.proven_at.is_some_and(ran_lately) {
+        match self.known_good_at.is_some_and(ran_lately) {
             true => moments(ends),
             false => ends.len(),
         }
@@ -118,7 +118,7 @@
 }
 
 /// How many moments some ends, oldest first, lie at.
-pub(crate) fn moments(ends: &[ServerEnd]) -> usize {
+pub(crate) fn moments(ends: &[ServerCrash]) -> usize {
     let mut count = 0;
     let mut begun: Option<Now> = None;
     for end in ends {
--- a/crates/core/src/servers/suspicions.rs
+++ b/crates/core/src/servers/suspicions.rs
@@ -8,9 +8,9 @@
 use serde::Serialize;
 
 use crate::Fingerprint;
-use crate::LifeId;
+use crate::IncarnationId;
 use crate::Now;
-use crate::ServerEnd;
+use crate::ServerCrash;
 use crate::Suspect;
 use crate::servers::suspect::moments;
 
@@ -63,13 +63,13 @@
 
 /// Added to the age of a proof that is heard, for the way of a heartbeat: without it, a
 /// proof that is passed on would get younger and speak against later ends.
-const HEARTBEAT_WAY: Duration = Duration::from_millis(100);
+const HEARTBEAT_TRANSIT: Duration = Duration::from_millis(100);
 
 /// What is to be done with a content.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// It is sent.
-    Free,
+    Allowed,
     /// It is not sent until then.
     Quarantined {
         /// Ends under it.
@@ -81,27 +81,27 @@
 
 /// An end, as instances tell each other.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ToldEnd {
+pub struct AdvertisedCrash {
     /// The life that ended.
-    pub life: LifeId,
+    pub life: IncarnationId,
     /// Milliseconds since it was seen.
     pub age_ms: u64,
 }
 
 /// A suspected content, as instances tell each other.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct ToldSuspect {
+pub struct AdvertisedSuspect {
     /// The content.
     pub fingerprint: Fingerprint,
     /// Latest ends under it.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<AdvertisedCrash>,
     /// Milliseconds since a request with it ran well.
     pub proof_age_ms: Option<u64>,
 }
 
 /// A belief that has changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SuspicionNews {
+pub enum SuspicionUpdate {
     /// A server ended under a request of this instance.
     Ended {
         /// The content.
@@ -132,7 +132,7 @@
 pub struct Suspicions {
     workspaces: BTreeMap<u64, Contents>,
     retold_at: Option<Now>,
-    news: Vec<SuspicionNews>,
+    news: Vec<SuspicionUpdate>,
 }
 
 impl Suspicions {
@@ -142,16 +142,16 @@
         &mut self,
         now: Now,
         fingerprint: Fingerprint,
-        proven_at: Option<Now>,
-        end: ServerEnd,
+        known_good_at: Option<Now>,
+        end: ServerCrash,
     ) {
         let before = self.verdict(fingerprint);
-        let suspect = self.entry(now, fingerprint, proven_at);
-        if !suspect.add_end(now, end) {
+        let suspect = self.entry(now, fingerprint, known_good_at);
+        if !suspect.add_crash(now, end) {
             return;
         }
         let ends = suspect.ends().len();
-        self.news.push(SuspicionNews::Ended { fingerprint, ends });
+        self.news.push(SuspicionUpdate::Ended { fingerprint, ends });
         self.note_change(fingerprint, before);
     }
 
@@ -160,35 +160,35 @@
         let contents = self.workspaces.get_mut(&fingerprint.workspace);
         let suspect = contents.and_then(|contents| contents.get_mut(&fingerprint.content));
         if suspect.is_some_and(|suspect| suspect.prove(now, now)) {
-            self.news.push(SuspicionNews::Cleared { fingerprint });
+            self.news.push(SuspicionUpdate::Cleared { fingerprint });
         }
     }
 
     /// Takes what another instance tells of a content that last ran well here at a time.
-    pub fn hear(&mut self, now: Now, proven_at: Option<Now>, told: &ToldSuspect) {
+    pub fn hear(&mut self, now: Now, known_good_at: Option<Now>, told: &AdvertisedSuspect) {
         let at = |age_ms: u64| now.saturating_sub(Duration::from_millis(age_ms));
         let fingerprint = told.fingerprint;
         let before = self.verdict(fingerprint);
-        let suspect = self.entry(now, fingerprint, proven_at);
+        let suspect = self.entry(now, fingerprint, known_good_at);
         let heard = told.proof_age_ms.map(at);
-        let heard = heard.map(|proven| proven.saturating_sub(HEARTBEAT_WAY));
-        let proven_at = heard.max(proven_at);
-        let is_cleared = proven_at.is_some_and(|proven| suspect.prove(now, proven));
+        let heard = heard.map(|proven| proven.saturating_sub(HEARTBEAT_TRANSIT));
+        let known_good_at = heard.max(known_good_at);
+        let is_cleared = known_good_at.is_some_and(|proven| suspect.prove(now, proven));
         for end in &told.ends {
             let (life, at) = (end.life, at(end.age_ms));
-            suspect.add_end(now, ServerEnd { life, at });
+            suspect.add_crash(now, ServerCrash { life, at });
         }
         if is_cleared {
-            self.news.push(SuspicionNews::Cleared { fingerprint });
+            self.news.push(SuspicionUpdate::Cleared { fingerprint });
         }
         self.note_change(fingerprint, before);
     }
 
     fn note_change(&mut self, fingerprint: Fingerprint, before: Verdict) {
-        if let (Verdict::Free, Verdict::Quarantined { ends, until }) =
+        if let (Verdict::Allowed, Verdict::Quarantined { ends, until }) =
             (before, self.verdict(fingerprint))
         {
-            self.news.push(SuspicionNews::Quarantined {
+            self.news.push(SuspicionUpdate::Quarantined {
                 fingerprint,
                 ends,
                 until,
@@ -201,16 +201,16 @@
     /// have.
     pub fn verdict(&self, fingerprint: Fingerprint) -> Verdict {
         let Some(suspect) = self.suspect(fingerprint) else {
-            return Verdict::Free;
+            return Verdict::Allowed;
         };
         if suspect.ends().len() < ENDS_TO_QUARANTINE {
-            return Verdict::Free;
+            return Verdict::Allowed;
         }
         let ends = suspect.ends().iter().copied();
-        let ends: Vec<ServerEnd> = ends.filter(|e| !self.is_explained(suspect, e)).collect();
+        let ends: Vec<ServerCrash> = ends.filter(|e| !self.is_explained(suspect, e)).collect();
         let weight = suspect.weight(&ends);
         let (Some(last), true) = (ends.last(), weight >= ENDS_TO_QUARANTINE) else {
-            return Verdict::Free;
+            return Verdict::Allowed;
         };
         Verdict::Quarantined {
             ends: ends.len(),
@@ -218,19 +218,19 @@
         }
     }
 
-    fn is_explained(&self, suspect: &Suspect, end: &ServerEnd) -> bool {
+    fn is_explained(&self, suspect: &Suspect, end: &ServerCrash) -> bool {
         let contents = self.workspaces.values().flat_map(BTreeMap::values);
         let mut stronger = contents.filter(|other| other.ends().len() > suspect.ends().len());
         stronger.any(|other| other.has_ended(end.life))
     }
 
     /// All that is known, for an instance that asks: the gravest and the latest first.
-    pub fn known(&self, now: Now) -> Vec<ToldSuspect> {
+    pub fn known(&self, now: Now) -> Vec<AdvertisedSuspect> {
         first_told(now, self.suspects().collect())
     }
 
     /// What the others should know now.
-    pub fn told(&mut self, now: Now) -> Vec<ToldSuspect> {
+    pub fn told(&mut self, now: Now) -> Vec<AdvertisedSuspect> {
         let is_due = |at: Now| now.saturating_sub(at) >= RETOLD_EVERY;
         let retells = self.retold_at.is_none_or(is_due);
         if retells {
@@ -244,7 +244,7 @@
     }
 
     /// The beliefs that have changed since this was asked last.
-    pub fn take_news(&mut self) -> Vec<SuspicionNews> {
+    pub fn take_news(&mut self) -> Vec<SuspicionUpdate> {
         std::mem::take(&mut self.news)
     }
 
@@ -258,7 +258,7 @@
     pub fn quarantined(&self) -> usize {
         let contents = self.suspects().map(|(fingerprint, _)| fingerprint);
         contents
-            .filter(|content| self.verdict(*content) != Verdict::Free)
+            .filter(|content| self.verdict(*content) != Verdict::Allowed)
             .count()
     }
 
@@ -297,14 +297,14 @@
         &mut self,
         now: Now,
         fingerprint: Fingerprint,
-        proven_at: Option<Now>,
+        known_good_at: Option<Now>,
     ) -> &mut Suspect {
         if self.suspect(fingerprint).is_none() {
             self.make_room(fingerprint.workspace);
         }
         let contents = self.workspaces.entry(fingerprint.workspace).or_default();
         let suspect = contents.entry(fingerprint.content);
-        suspect.or_insert_with(|| Suspect::new(now, proven_at))
+        suspect.or_insert_with(|| Suspect::new(now, known_good_at))
     }
 
     /// Drops the slightest suspicion of a workspace that has its share, or else of the
@@ -341,7 +341,7 @@
     time.min(LONGEST_QUARANTINE)
 }
 
-fn first_told(now: Now, mut told: Vec<(Fingerprint, &Suspect)>) -> Vec<ToldSuspect> {
+fn first_told(now: Now, mut told: Vec<(Fingerprint, &Suspect)>) -> Vec<AdvertisedSuspect> {
     told.sort_by_key(|(_, suspect)| {
         let is_quarantined = suspect.ends().len() >= ENDS_TO_QUARANTINE;
         std::cmp::Reverse((is_quarantined, suspect.changed_at()))
@@ -350,16 +350,16 @@
     told.into_iter().map(|(f, s)| as_told(now, f, s)).collect()
 }
 
-fn as_told(now: Now, fingerprint: Fingerprint, suspect: &Suspect) -> ToldSuspect {
+fn as_told(now: Now, fingerprint: Fingerprint, suspect: &Suspect) -> AdvertisedSuspect {
     let age_ms = |at: Now| now.saturating_sub(at).as_millis() as u64;
     let latest = suspect.ends().iter().rev().take(MOST_ENDS_TOLD);
-    let ends = latest.map(|end| ToldEnd {
+    let ends = latest.map(|end| AdvertisedCrash {
         life: end.life,
         age_ms: age_ms(end.at),
     });
-    ToldSuspect {
+    AdvertisedSuspect {
         fingerprint,
         ends: ends.collect(),
-        proof_age_ms: suspect.proven_at().map(age_ms),
+        proof_age_ms: suspect.known_good_at().map(age_ms),
     }
 }
--- a/crates/core/tests/config_scene/instance.rs
+++ b/crates/core/tests/config_scene/instance.rs
@@ -10,13 +10,13 @@
 use iristhread_core::MemberState;
 use iristhread_core::Now;
 use iristhread_core::WatchCycle;
-use iristhread_core::reading_waits::ANSWER_TIMEOUT;
-use iristhread_core::reading_waits::BEFORE_FETCH;
-use iristhread_core::reading_waits::FETCH_TIMEOUT;
-use iristhread_core::reading_waits::FIRST_PAUSE;
-use iristhread_core::reading_waits::LONGEST_PAUSE;
-use iristhread_core::reading_waits::LOOK_AGAIN;
-use iristhread_core::reading_waits::PAUSE_FACTORS;
+use iristhread_core::read_timing::ANSWER_TIMEOUT;
+use iristhread_core::read_timing::FETCH_TIMEOUT;
+use iristhread_core::read_timing::FIRST_PAUSE;
+use iristhread_core::read_timing::LONGEST_PAUSE;
+use iristhread_core::read_timing::LOOK_AGAIN;
+use iristhread_core::read_timing::MAX_FETCH_DELAY;
+use iristhread_core::read_timing::RETRY_JITTER;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
@@ -250,8 +250,8 @@
         } else if now >= call.sent + call.wait + ANSWER_TIMEOUT {
             self.can_read = false;
             self.in_trouble = true;
-            let width = PAUSE_FACTORS.end - PAUSE_FACTORS.start;
-            let factor = PAUSE_FACTORS.start + width * below(random, 1_000) as f64 / 1_000.0;
+            let width = RETRY_JITTER.end - RETRY_JITTER.start;
+            let factor = RETRY_JITTER.start + width * below(random, 1_000) as f64 / 1_000.0;
             let pause = self.pause.mul_f64(factor);
             self.pause = (self.pause * 2).min(LONGEST_PAUSE);
             self.reader = Reader::Pauses(now + pause);
@@ -270,7 +270,7 @@
         let confirmed_at = self.known_confirmed_at(now);
         let is_ahead = self.members.is_ahead_in_config(now, self.version);
         self.lag.note(now, is_ahead);
-        let is_stuck = self.lag.is_too_long(now, &self.members.waits(now));
+        let is_stuck = self.lag.is_overdue(now, &self.members.waits(now));
         let for_others = is_ahead && self.members.relays(now);
         is_stuck || for_others || self.members.reads(now, confirmed_at, self.can_read)
     }
@@ -309,7 +309,7 @@
     pub fn beat(&mut self, now: Now, random: &mut Pcg32) -> Vec<(usize, Beat)> {
         let mut sent = Vec::new();
         if now >= self.beats_at {
-            self.beats_at = now + self.members.beat_interval(now);
+            self.beats_at = now + self.members.heartbeat_interval(now);
             let fan_out = self.members.fan_out(now, random);
             let mut beat = self.own_beat(now, random);
             for to in &fan_out.direct {
@@ -319,7 +319,7 @@
             for to in fan_out.relay.iter().chain(&fan_out.far) {
                 sent.push((number(to), beat.clone()));
             }
-            if fan_out.passes_on {
+            if fan_out.forwards_to_zone {
                 self.bundle.push(beat);
             }
         }
@@ -341,7 +341,7 @@
                 instance: format!("i{}", self.own),
                 incarnation: format!("life {}", self.life),
                 sequence: self.sequence,
-                said_at: now,
+                sent_at: now,
                 zone: self.zone.clone(),
                 core_millis: 250,
                 has_relays: self.members.has_relays(),
@@ -352,7 +352,7 @@
                 can_read: self.can_read,
             },
             config_age: confirmed_at.map(|at| now.saturating_sub(at)),
-            addresses: self.members.told_addresses(now, random),
+            addresses: self.members.advertised_addresses(now, random),
             pass_on: false,
         }
     }
@@ -376,15 +376,16 @@
             return;
         }
         for address in &beat.addresses {
-            self.members.hear_of(now, *address);
+            self.members.learn_address(now, *address);
         }
-        if arrival == Arrival::FirstOfLife {
-            self.members.greet(beat.address);
+        if arrival == Arrival::FirstOfIncarnation {
+            self.members.queue_immediate_heartbeat(beat.address);
             self.beats_at = self.beats_at.min(now + GATHERING);
         }
         if is_ahead && matches!(self.fetch, Fetch::Idle) {
             self.fetch = Fetch::Waits {
-                until: now + Duration::from_millis(below(random, BEFORE_FETCH.as_millis() as u64)),
+                until: now
+                    + Duration::from_millis(below(random, MAX_FETCH_DELAY.as_millis() as u64)),
                 had: self.version,
             };
         }
--- a/crates/core/tests/delay_estimate.rs
+++ b/crates/core/tests/delay_estimate.rs
@@ -26,10 +26,10 @@
 fn clocks_that_drift_apart_make_nothing_old() {
     let mut delay = DelayEstimate::new(ms(0), ms(0));
     for beat in 1..50_000_u64 {
-        let said_at = ms(beat * 200);
+        let sent_at = ms(beat * 200);
         // A tenth of a millisecond in a second.
-        let handled_at = said_at + said_at / 10_000;
-        let found = delay.delay(said_at, handled_at);
-        assert!(found <= ms(1), "{found:?} after {said_at:?}");
+        let handled_at = sent_at + sent_at / 10_000;
+        let found = delay.delay(sent_at, handled_at);
+        assert!(found <= ms(1), "{found:?} after {sent_at:?}");
     }
 }
--- a/crates/core/tests/engine_urgency.rs
+++ b/crates/core/tests/engine_urgency.rs
@@ -1,7 +1,7 @@
 //! Long and short answers on one engine whose memory is short: who gives way.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use iristhread_core::engine_urgency;
+use iristhread_core::engine_priority;
 use rand_core::Rng;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -183,7 +183,7 @@
 #[test_case(3)]
 fn long_sessions_are_not_displaced_by_each_short_answer(seed: u64) {
     let by_route = run(seed, u8::from);
-    let alike = run(seed, |_| engine_urgency(0));
+    let alike = run(seed, |_| engine_priority(0));
     assert!(
         alike.displaced_long * 2 <= by_route.displaced_long,
         "{alike:?} {by_route:?}"
@@ -196,6 +196,6 @@
 
 #[test]
 fn workspaces_keep_their_ranks() {
-    assert!((0..9).all(|rank| engine_urgency(rank) < engine_urgency(rank + 1)));
-    assert_eq!(engine_urgency(200), 9);
+    assert!((0..9).all(|rank| engine_priority(rank) < engine_priority(rank + 1)));
+    assert_eq!(engine_priority(200), 9);
 }
--- a/crates/core/tests/gateway_carrying.rs
+++ b/crates/core/tests/gateway_carrying.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::LoadShare;
 use iristhread_core::ReplicaChange;
 use iristhread_core::RequestClass;
@@ -52,7 +52,7 @@
 fn a_session_goes_on_at_its_copy() {
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(ZERO, ask("r1")).unwrap();
-    let target = control.carry(ms(10), "r1").unwrap();
+    let target = control.fail_over(ms(10), "r1").unwrap();
     assert_eq!(target.replica.id, ranking.backup.unwrap().id);
     assert_eq!(target.from, ranking.replicas[0].id);
     let next = target.backup.expect("a new copy is kept");
@@ -65,9 +65,9 @@
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(ZERO, ask("r1")).unwrap();
     let first = ranking.replicas[0].id.clone();
-    control.carry(ZERO, "r1").unwrap();
-    control.not_carried("r1", first.clone());
-    assert!(control.carry(ZERO, "r1").is_none());
+    control.fail_over(ZERO, "r1").unwrap();
+    control.failover_failed("r1", first.clone());
+    assert!(control.fail_over(ZERO, "r1").is_none());
     assert_eq!(control.shares()[&first].requests, 1);
 }
 
@@ -75,7 +75,7 @@
 fn no_copy_means_no_place_to_go_on() {
     let mut control = control_with(&["e1"]);
     assert!(control.place(ZERO, ask("r1")).unwrap().backup.is_none());
-    assert!(control.carry(ZERO, "r1").is_none());
+    assert!(control.fail_over(ZERO, "r1").is_none());
 }
 
 #[test]
@@ -103,7 +103,7 @@
     let (engine, backup) = (&ranking.replicas[0].id, ranking.backup.unwrap().id);
     let removed = vec![ReplicaChange::Removed(backup.clone())];
     assert!(control.change_replicas(ZERO, 2, removed).is_empty());
-    assert!(control.carry(ZERO, "r1").is_none());
+    assert!(control.fail_over(ZERO, "r1").is_none());
     let leaves = vec![ReplicaChange::Listed(leaving(engine, "z1"))];
     let evacuations = control.change_replicas(ZERO, 3, leaves);
     assert_eq!(evacuations.len(), 1);
@@ -116,7 +116,7 @@
 fn moves_at_one_moment_spread_over_engines() {
     let mut targets = BTreeSet::new();
     for seed in 0..20 {
-        let mut control = GatewayControl::new(GatewayTerms { seed, ..terms() });
+        let mut control = GatewayControl::new(GatewayParameters { seed, ..terms() });
         control.offer_config(Arc::new(config(1)));
         let ids = ["e1", "e2", "e3", "e4", "e5", "e6", "e7"];
         let engines = ids.map(|id| engine(id, "z1")).to_vec();
@@ -130,7 +130,7 @@
             };
             (id.to_string(), load)
         });
-        control.hear_peer(ZERO, told("i2", 1, loads.collect()));
+        control.apply_peer_load(ZERO, told("i2", 1, loads.collect()));
         targets.insert(control.evacuate(ZERO, "r1", &[]).unwrap().target.id);
     }
     assert!(targets.len() >= 4, "{targets:?}");
@@ -166,7 +166,7 @@
         ReplicaChange::Listed(leaving("e1", "z1")),
     ];
     assert_eq!(control.change_replicas(ZERO, 2, news).len(), 1);
-    assert!(control.carry(ZERO, "r1").is_none());
+    assert!(control.fail_over(ZERO, "r1").is_none());
 }
 
 #[test]
@@ -229,7 +229,7 @@
     long.prompt_tokens = 8_000;
     let ranking = control.place(ZERO, long).unwrap();
     assert!(ranking.backup.is_none(), "too large for a copy");
-    let target = control.place_again(ms(10), "r1").unwrap();
+    let target = control.restart_stream(ms(10), "r1").unwrap();
     assert_eq!(target.from, ranking.replicas[0].id);
     assert_ne!(target.replica.id, target.from);
     assert_eq!(control.shares()[&target.replica.id].requests, 1);
@@ -237,7 +237,7 @@
 
 #[test]
 fn a_stream_is_not_run_again_without_a_retry_left() {
-    let mut control = GatewayControl::new(GatewayTerms {
+    let mut control = GatewayControl::new(GatewayParameters {
         retry_ratio: 0.0,
         retry_extra: 0.0,
         ..terms()
@@ -246,7 +246,7 @@
     let engines = vec![engine("e1", "z1"), engine("e2", "z1")];
     control.offer_replicas(ZERO, 1, engines);
     let ranking = control.place(ZERO, ask("r1")).unwrap();
-    assert!(control.place_again(ms(10), "r1").is_none());
+    assert!(control.restart_stream(ms(10), "r1").is_none());
     assert_eq!(control.shares()[&ranking.replicas[0].id].requests, 1);
 }
 
@@ -261,11 +261,11 @@
         ..LoadShare::default()
     };
     let loads = full.map(|id| (id.to_owned(), load(9_000)));
-    control.hear_peer(ZERO, told("i2", 1, loads.into()));
+    control.apply_peer_load(ZERO, told("i2", 1, loads.into()));
     let ranking = control.place(ZERO, ask("r1")).unwrap();
     assert!(ranking.backup.is_none(), "{:?}", ranking.backup);
     let loads = full.map(|id| (id.to_owned(), load(3_000)));
-    control.hear_peer(ZERO, told("i2", 2, loads.into()));
+    control.apply_peer_load(ZERO, told("i2", 2, loads.into()));
     let ranking = control.place(ZERO, ask("r2")).unwrap();
     assert!(ranking.backup.is_some());
 }
--- a/crates/core/tests/gateway_cold.rs
+++ b/crates/core/tests/gateway_cold.rs
@@ -12,19 +12,19 @@
 use gateway_scene::engine;
 use gateway_scene::ms;
 use gateway_scene::terms;
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::GatewayConfig;
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::LoadShares;
 use iristhread_core::Now;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
 use iristhread_core::ReplicaChange;
 use iristhread_core::ReplicaList;
 use iristhread_core::RequestClass;
 use iristhread_core::RunEnd;
-use iristhread_core::ToldLoads;
 use iristhread_core::ZoneDigest;
 use test_case::test_case;
 
@@ -59,7 +59,7 @@
 /// sums.
 fn instance(own: usize, count: usize, zones: usize, heard: &[usize]) -> GatewayControl {
     let zone = zone_of(own, zones);
-    let mut control = GatewayControl::new(GatewayTerms {
+    let mut control = GatewayControl::new(GatewayParameters {
         instance: format!("i{own}"),
         zone: zone.clone(),
         seed: own as u64,
@@ -67,9 +67,9 @@
     });
     control.offer_config(bounded_config());
     let mut tell = |from: usize, digest: Option<ZoneDigest>| {
-        control.hear_peer(
+        control.apply_peer_load(
             START,
-            ToldLoads {
+            AdvertisedLoads {
                 instance: format!("i{from}"),
                 incarnation: "life".to_owned(),
                 sequence: 1,
@@ -104,7 +104,7 @@
             // Instances act at moments of their own.
             let now = START + ms(step * 20 + number as u64 % 20);
             let request = format!("r{number}-{step}");
-            let call = PlacementAsk {
+            let call = PlacementRequest {
                 class: RequestClass::Repeatable,
                 prompt_tokens: 0,
                 max_tokens: 0,
--- a/crates/core/tests/gateway_ending.rs
+++ b/crates/core/tests/gateway_ending.rs
@@ -7,16 +7,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::Now;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
 use iristhread_core::ReplicaChange;
 use iristhread_core::RequestClass;
 use iristhread_core::RunEnd;
-use iristhread_core::ToldLoads;
 use test_case::test_case;
 
 use gateway_scene::ask;
@@ -33,8 +33,8 @@
 const ENGINES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
 /// A request with the content at fault.
-fn again(request: &str) -> PlacementAsk {
-    PlacementAsk {
+fn again(request: &str) -> PlacementRequest {
+    PlacementRequest {
         fingerprint: fingerprint("the content at fault"),
         ..ask(request)
     }
@@ -44,7 +44,7 @@
 fn ends_its_engine(control: &mut GatewayControl, now: Now, request: &str) -> String {
     let ranking = control.place(now, again(request)).unwrap();
     let replica = &ranking.replicas[0];
-    control.broke_off(now + ms(100), request, replica);
+    control.note_broken_run(now + ms(100), request, replica);
     control.server_ended(now + ms(102), &replica.server_life());
     control.ended(now + ms(102), request, RunEnd::Failed);
     replica.id.clone()
@@ -67,7 +67,7 @@
 fn it_is_refused_at_once_after_three_ends(class: RequestClass) {
     let mut control = control_with(&ENGINES);
     three_ends(&mut control);
-    let call = PlacementAsk {
+    let call = PlacementRequest {
         class,
         ..again("one more")
     };
@@ -82,13 +82,13 @@
     let mut control = control_with(&ENGINES);
     let ranking = control.place(NOW, again("running")).unwrap();
     assert!(ranking.backup.is_some());
-    assert!(control.may_go_on("running"));
+    assert!(control.may_resend("running"));
     three_ends(&mut control);
     let now = NOW + ms(2_000);
-    assert!(!control.may_go_on("running"), "a further try");
-    assert!(control.carry(now, "running").is_none(), "a copy");
+    assert!(!control.may_resend("running"), "a further try");
+    assert!(control.fail_over(now, "running").is_none(), "a copy");
     assert!(
-        control.place_again(now, "running").is_none(),
+        control.restart_stream(now, "running").is_none(),
         "a second run"
     );
     assert!(control.evacuate(now, "running", &[]).is_none(), "a move");
@@ -103,8 +103,8 @@
     control.progress(NOW + ms(100), "running", 4);
     control.progress(NOW + ms(1_200), "running", 200);
     three_ends(&mut control);
-    assert!(control.may_go_on("running"));
-    assert!(control.carry(NOW + ms(2_000), "running").is_some());
+    assert!(control.may_resend("running"));
+    assert!(control.fail_over(NOW + ms(2_000), "running").is_some());
 }
 
 #[test]
@@ -114,7 +114,7 @@
         let (now, request) = (NOW + ms(number * 2_000), format!("r{number}"));
         let ranking = control.place(now, again(&request)).unwrap();
         control.progress(now + ms(50), &request, 4);
-        control.broke_off(now + ms(1_100), &request, &ranking.replicas[0]);
+        control.note_broken_run(now + ms(1_100), &request, &ranking.replicas[0]);
         control.server_ended(now + ms(1_100), &ranking.replicas[0].server_life());
         control.ended(now + ms(1_100), &request, RunEnd::Failed);
     }
@@ -128,7 +128,7 @@
     for number in 0..6 {
         let (now, request) = (NOW + ms(number * 300), format!("r{number}"));
         let ranking = control.place(now, again(&request)).unwrap();
-        control.broke_off(now + ms(20), &request, &ranking.replicas[0]);
+        control.note_broken_run(now + ms(20), &request, &ranking.replicas[0]);
         control.ended(now + ms(20), &request, RunEnd::Failed);
         control.tick(now + ms(20));
     }
@@ -144,7 +144,7 @@
         let replica = control.place(now, again(&request)).unwrap().replicas[0].clone();
         let leaves = ReplicaChange::Listed(leaving(&replica.id, "z1"));
         control.change_replicas(now, 2 + number, vec![leaves]);
-        control.broke_off(now + ms(400), &request, &replica);
+        control.note_broken_run(now + ms(400), &request, &replica);
         control.server_ended(now + ms(400), &replica.server_life());
     }
     assert_eq!(refusal(&mut control, NOW + ms(5_000)), None);
@@ -182,7 +182,7 @@
         if is_first {
             control.change_replicas(now + ms(50), 10 + number, vec![change.clone()]);
         }
-        control.broke_off(now + ms(100), &request, &replica);
+        control.note_broken_run(now + ms(100), &request, &replica);
         control.ended(now + ms(100), &request, RunEnd::Failed);
         // The third end is sure only when the list has told of it.
         let is_sure = is_first && number == 2;
@@ -227,10 +227,10 @@
         for session in beside {
             // Each was sent there, too.
             if control.place(now, ask(session)).is_ok() {
-                control.broke_off(now + ms(100), session, replica);
+                control.note_broken_run(now + ms(100), session, replica);
             }
         }
-        control.broke_off(now + ms(100), &format!("end-{number}"), replica);
+        control.note_broken_run(now + ms(100), &format!("end-{number}"), replica);
         control.server_ended(now + ms(101), &replica.server_life());
     }
     assert_eq!(
@@ -238,7 +238,7 @@
         Some(RefusalKind::Quarantined)
     );
     // One of them was in fewer ends; the others are told from it when it comes again.
-    control.hear_suspects(NOW + ms(5_000), &one_end_more());
+    control.apply_peer_suspects(NOW + ms(5_000), &one_end_more());
     for session in beside {
         assert!(
             control.place(NOW + ms(5_100), ask(session)).is_ok(),
@@ -248,10 +248,10 @@
 }
 
 /// What another instance saw of the content at fault.
-fn one_end_more() -> Vec<iristhread_core::ToldSuspect> {
+fn one_end_more() -> Vec<iristhread_core::AdvertisedSuspect> {
     let mut other = control_with(&["g"]);
     ends_its_engine(&mut other, NOW + ms(4_000), "elsewhere");
-    other.told_suspects(NOW + ms(4_500))
+    other.advertised_suspects(NOW + ms(4_500))
 }
 
 /// Instances of two zones that hear each other.
@@ -261,7 +261,7 @@
     let regions = || BTreeMap::from(["z1", "z2"].map(|zone| (zone.to_owned(), "north".to_owned())));
     let mut fleet = Vec::new();
     for (place, name) in names.iter().enumerate() {
-        let mut control = GatewayControl::new(GatewayTerms {
+        let mut control = GatewayControl::new(GatewayParameters {
             instance: (*name).to_owned(),
             zone: zone(place).to_owned(),
             regions: regions(),
@@ -280,9 +280,9 @@
     for (place, name) in ["i1", "i2", "i3", "i4"].iter().enumerate() {
         if *name != own {
             let zone = if place < 2 { "z1" } else { "z2" };
-            control.hear_peer(
+            control.apply_peer_load(
                 now,
-                ToldLoads {
+                AdvertisedLoads {
                     zone: zone.to_owned(),
                     ..told(name, 1, BTreeMap::new())
                 },
@@ -295,9 +295,9 @@
 fn one_instance_of_all_tries_it_after_its_quarantine() {
     let mut fleet = fleet();
     three_ends(&mut fleet[0]);
-    let suspects = fleet[0].told_suspects(NOW + ms(1_500));
+    let suspects = fleet[0].advertised_suspects(NOW + ms(1_500));
     for control in &mut fleet[1..] {
-        control.hear_suspects(NOW + ms(1_500), &suspects);
+        control.apply_peer_suspects(NOW + ms(1_500), &suspects);
     }
     let during = NOW + ms(20_000);
     let refused = fleet.iter_mut().map(|control| refusal(control, during));
@@ -311,9 +311,9 @@
     assert_eq!(refused.flatten().count(), 4, "it tries one");
     let prober = fleet.iter().position(|c| c.running() > 0).unwrap();
     fleet[prober].ended(after + ms(900), "one more", RunEnd::Answered);
-    let cleared = fleet[prober].told_suspects(after + ms(900));
+    let cleared = fleet[prober].advertised_suspects(after + ms(900));
     for control in &mut fleet {
-        control.hear_suspects(after + ms(910), &cleared);
+        control.apply_peer_suspects(after + ms(910), &cleared);
         assert_eq!(refusal(control, after + ms(920)), None);
     }
 }
@@ -322,9 +322,9 @@
 fn an_instance_that_is_cut_off_tries_nothing() {
     let mut fleet = fleet();
     three_ends(&mut fleet[0]);
-    let suspects = fleet[0].told_suspects(NOW + ms(1_500));
+    let suspects = fleet[0].advertised_suspects(NOW + ms(1_500));
     for control in &mut fleet {
-        control.hear_suspects(NOW + ms(1_500), &suspects);
+        control.apply_peer_suspects(NOW + ms(1_500), &suspects);
         control.tick(NOW + ms(200_000));
         let refused = refusal(control, NOW + ms(200_000));
         assert_eq!(refused, Some(RefusalKind::Quarantined));
--- a/crates/core/tests/gateway_engine_watch.rs
+++ b/crates/core/tests/gateway_engine_watch.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::ListedState;
 
 use gateway_scene::ask;
@@ -26,7 +26,7 @@
     let name = |number: u32| format!("i{number}");
     (0..count)
         .map(|own| {
-            let mut control = GatewayControl::new(GatewayTerms {
+            let mut control = GatewayControl::new(GatewayParameters {
                 instance: name(own),
                 ..terms()
             });
@@ -34,9 +34,9 @@
             let engines = ENGINES.iter().map(|id| engine(id, "z1")).collect();
             control.offer_replicas(Duration::ZERO, 1, engines);
             for other in (0..count).filter(|other| *other != own) {
-                control.hear_peer(Duration::ZERO, told(&name(other), 1, BTreeMap::new()));
+                control.apply_peer_load(Duration::ZERO, told(&name(other), 1, BTreeMap::new()));
             }
-            control.list_lost(true);
+            control.set_list_stale(true);
             control
         })
         .collect()
@@ -65,7 +65,7 @@
 fn an_engine_that_keeps_a_copy_is_looked_at_now_and_then() {
     let mut control = control_with(&ENGINES);
     let backup = control.place(Duration::ZERO, ask("r1")).unwrap().backup;
-    control.list_lost(true);
+    control.set_list_stale(true);
     let looked = |control: &mut GatewayControl, at: u64| {
         let engines = control.engine_checks(ms(at)).look.into_iter();
         engines.map(|engine| engine.id).collect::<Vec<String>>()
@@ -141,7 +141,7 @@
     let mut control = control_with(&["e1", "e2", "e3"]);
     let ranking = control.place(Duration::ZERO, ask("r1")).unwrap();
     control.unreachable(ms(100), &ranking.backup.unwrap().id);
-    assert!(control.carry(ms(200), "r1").is_none());
+    assert!(control.fail_over(ms(200), "r1").is_none());
     let leaves = control.leaves(ms(300), &ranking.replicas[0].server_life(), true);
     assert_eq!(leaves.unwrap().len(), 1, "it has to move now");
 }
@@ -165,11 +165,11 @@
 #[test]
 fn an_engine_that_a_neighbour_can_t_reach_is_left_alone() {
     let mut fleet = fleet(2);
-    assert!(fleet[0].takes_no_connection(ms(100), "e1"));
-    assert!(!fleet[0].takes_no_connection(ms(200), "e1"), "no news");
+    assert!(fleet[0].refused_connection(ms(100), "e1"));
+    assert!(!fleet[0].refused_connection(ms(200), "e1"), "no news");
     assert_eq!(fleet[0].found_unreachable(ms(2_100)), ["e1"]);
     assert!(fleet[0].found_unreachable(ms(2_300)).is_empty());
-    fleet[1].hear_unreachable(ms(150), "e1");
+    fleet[1].apply_peer_unreachable(ms(150), "e1");
     for number in 0..8 {
         let ranking = fleet[1].place(ms(200), ask(&format!("r{number}"))).unwrap();
         assert!(ranking.replicas.iter().all(|replica| replica.id != "e1"));
@@ -181,9 +181,9 @@
 #[test]
 fn nothing_is_told_of_connections_while_the_list_is_confirmed() {
     let mut control = control_with(&ENGINES);
-    assert!(!control.takes_no_connection(ms(100), "e1"));
+    assert!(!control.refused_connection(ms(100), "e1"));
     assert!(control.found_unreachable(ms(100)).is_empty());
-    control.hear_unreachable(ms(100), "e1");
+    control.apply_peer_unreachable(ms(100), "e1");
     let chosen = (0..10).any(|number| {
         let ranking = control.place(ms(200), ask(&format!("r{number}"))).unwrap();
         ranking.replicas.iter().any(|replica| replica.id == "e1")
@@ -196,6 +196,6 @@
 fn what_is_unreachable_is_told_until_the_list_has_settled() {
     let mut control = control_with(&ENGINES);
     control.outage_ended(ms(1_000));
-    assert!(control.takes_no_connection(ms(1_500), "e1"));
-    assert!(!control.takes_no_connection(ms(3_100), "e2"));
+    assert!(control.refused_connection(ms(1_500), "e1"));
+    assert!(!control.refused_connection(ms(3_100), "e2"));
 }
--- a/crates/core/tests/gateway_evacuation.rs
+++ b/crates/core/tests/gateway_evacuation.rs
@@ -12,21 +12,21 @@
 use gateway_scene::engine;
 use gateway_scene::leaving;
 use gateway_scene::ms;
+use iristhread_core::AdvertisedEvacuations;
 use iristhread_core::EvacuationChange;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::GatewayControl;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
 use iristhread_core::RequestClass;
-use iristhread_core::ToldEvacuations;
 use iristhread_core::ZoneEvacuations;
 use test_case::test_case;
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn whole(revision: u64, zones: &[&str]) -> EvacuationNews {
-    EvacuationNews::Whole(ToldEvacuations {
+fn whole(revision: u64, zones: &[&str]) -> EvacuationUpdate {
+    EvacuationUpdate::Whole(AdvertisedEvacuations {
         revision: revision.into(),
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
     })
@@ -40,8 +40,8 @@
     EvacuationChange::Ended(zone.to_owned())
 }
 
-fn changed(after: u64, revision: u64, changes: Vec<EvacuationChange>) -> EvacuationNews {
-    EvacuationNews::Changed {
+fn changed(after: u64, revision: u64, changes: Vec<EvacuationChange>) -> EvacuationUpdate {
+    EvacuationUpdate::Changed {
         after: after.into(),
         revision: revision.into(),
         changes,
@@ -65,8 +65,8 @@
     control
 }
 
-fn ask_of(service: &str, request: &str) -> PlacementAsk {
-    PlacementAsk {
+fn ask_of(service: &str, request: &str) -> PlacementRequest {
+    PlacementRequest {
         service: service.to_owned(),
         ..ask(request)
     }
@@ -125,7 +125,7 @@
     let copy = ranking.backup.unwrap();
     let zone = zone_of(&control, &copy.id);
     control.offer_evacuations(NOW, whole(2, &[&zone])).unwrap();
-    assert!(control.carry(NOW, "r").is_none());
+    assert!(control.fail_over(NOW, "r").is_none());
 }
 
 #[test]
@@ -151,7 +151,7 @@
         control.place(NOW, ask(&format!("r{number}"))).unwrap();
     }
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
-    let target = control.place_again(NOW, "r0").unwrap();
+    let target = control.restart_stream(NOW, "r0").unwrap();
     assert_eq!(target.replica.availability_zone, "z2");
 }
 
@@ -169,7 +169,7 @@
 #[test_case(whole(4, &[]); "a whole")]
 #[test_case(changed(1, 4, vec![ended("z1")]); "a change")]
 #[test_case(changed(6, 7, vec![ended("z1")]); "a change after one that is missing")]
-fn news_that_are_late_or_lack_something_change_nothing(late: EvacuationNews) {
+fn news_that_are_late_or_lack_something_change_nothing(late: EvacuationUpdate) {
     let mut evacuations = ZoneEvacuations::default();
     evacuations.take(NOW, whole(5, &["z1"])).unwrap();
     assert_eq!(evacuations.take(NOW, late), None);
@@ -216,7 +216,7 @@
             evacuations.take(NOW, order);
         }
         assert_eq!(
-            EvacuationNews::Whole(evacuations.told()),
+            EvacuationUpdate::Whole(evacuations.told()),
             last,
             "seed {seed}"
         );
@@ -243,7 +243,7 @@
 fn a_call_that_may_be_repeated_stays_out_of_it() {
     let mut control = two_zones();
     control.offer_evacuations(NOW, whole(2, &["z1"])).unwrap();
-    let call = PlacementAsk {
+    let call = PlacementRequest {
         class: RequestClass::Repeatable,
         ..ask_of("orders", "c")
     };
--- a/crates/core/tests/gateway_fleet.rs
+++ b/crates/core/tests/gateway_fleet.rs
@@ -42,8 +42,8 @@
 /// The grace counts from the end of the outage, not from the removal: a server
 /// that leaves in good order soon after an outage gets nothing new for longer
 /// than the users allow otherwise (hunt-e87f-3 of cmuca-cotacao).
-#[test_case(5_010, ListedState::Lapsed; "at the end of the outage")]
-#[test_case(6_990, ListedState::Lapsed; "within two seconds")]
+#[test_case(5_010, ListedState::Expired; "at the end of the outage")]
+#[test_case(6_990, ListedState::Expired; "within two seconds")]
 #[test_case(7_010, ListedState::Removed; "later")]
 fn an_entry_that_is_removed_after_an_outage(at_ms: u64, expected: ListedState) {
     let mut list = list();
@@ -72,7 +72,7 @@
     let mut list = list();
     list.outage_ended(ms(5_000));
     list.snapshot(ms(5_010), 12, Vec::new());
-    assert_eq!(list.state("e1"), ListedState::Lapsed);
+    assert_eq!(list.state("e1"), ListedState::Expired);
     list.change(
         ms(6_500),
         13,
@@ -96,7 +96,7 @@
     list.outage_ended(ms(5_000));
     list.outage_ended(ms(3_000));
     list.change(ms(6_000), 11, vec![ReplicaChange::Removed("e1".to_owned())]);
-    assert_eq!(list.state("e1"), ListedState::Lapsed);
+    assert_eq!(list.state("e1"), ListedState::Expired);
 }
 
 /// An instance that fetches the list from a peer must not take a lapsed entry
@@ -108,7 +108,7 @@
     source.snapshot(ms(5_100), 12, Vec::new());
     let mut fetched = list();
     fetched.hear(ms(5_300), source.told(ms(5_300)));
-    assert_eq!(fetched.state("e1"), ListedState::Lapsed);
+    assert_eq!(fetched.state("e1"), ListedState::Expired);
     fetched.expire(ms(7_000));
     assert_eq!(fetched.state("e1"), ListedState::Removed);
 }
@@ -155,8 +155,8 @@
     let mut random = Pcg32::seed_from_u64(1);
     let mut fleet = members(2);
     assert_eq!(fleet.fan_out(ms(0), &mut random).direct, [address(1)]);
-    fleet.hear_of(ms(0), address(7));
-    fleet.hear_of(ms(0), address(2));
+    fleet.learn_address(ms(0), address(7));
+    fleet.learn_address(ms(0), address(2));
     let mut targets = fleet.fan_out(ms(0), &mut random).direct;
     targets.sort();
     assert_eq!(targets, [address(1), address(7)], "never to itself");
@@ -190,7 +190,7 @@
     }
     let mut random = Pcg32::seed_from_u64(1);
     let fan_out = fleet.fan_out(ms(0), &mut random);
-    assert_eq!(fleet.beat_interval(ms(0)), ms(expected_ms));
+    assert_eq!(fleet.heartbeat_interval(ms(0)), ms(expected_ms));
     let targets = fan_out.direct.len() + usize::from(fan_out.relay.is_some());
     assert!(targets <= 31, "{targets} targets");
 }
@@ -233,7 +233,7 @@
         let mut control = control_with(&["e1", "e2", "e3"]);
         for other in (0..3).filter(|other| *other != number) {
             let name = format!("i{other}");
-            control.hear_peer(ms(0), told(&name, 1, BTreeMap::new()));
+            control.apply_peer_load(ms(0), told(&name, 1, BTreeMap::new()));
         }
         for request in 0..20 {
             let request = format!("r{request}");
@@ -279,5 +279,8 @@
 #[test_case(133, 133; "a large fleet of today")]
 #[test_case(3_000, 300; "three thousand")]
 fn a_relay_tells_other_zones_as_often_as_its_sums_allow(sums: usize, expected_ms: u64) {
-    assert_eq!(FleetMembers::relay_interval(sums), ms(expected_ms));
+    assert_eq!(
+        FleetMembers::relay_heartbeat_interval(sums),
+        ms(expected_ms)
+    );
 }
--- a/crates/core/tests/gateway_homes.rs
+++ b/crates/core/tests/gateway_homes.rs
@@ -12,8 +12,8 @@
 use gateway_scene::engine;
 use gateway_scene::terms;
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
-use iristhread_core::PlacementAsk;
+use iristhread_core::GatewayParameters;
+use iristhread_core::PlacementRequest;
 use iristhread_core::RefusalKind;
 use iristhread_core::ReplicaChange;
 use test_case::test_case;
@@ -24,7 +24,7 @@
 fn two_regions() -> GatewayControl {
     let regions = [("z1", "north"), ("z2", "south")];
     let regions = regions.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
-    let mut control = GatewayControl::new(GatewayTerms {
+    let mut control = GatewayControl::new(GatewayParameters {
         regions: BTreeMap::from(regions),
         ..terms()
     });
@@ -35,8 +35,8 @@
     control
 }
 
-fn at_home(request: &str, homes: &[&str]) -> PlacementAsk {
-    PlacementAsk {
+fn at_home(request: &str, homes: &[&str]) -> PlacementRequest {
+    PlacementRequest {
         homes: Some(homes.iter().map(|home| (*home).to_owned()).collect()),
         ..ask(request)
     }
@@ -84,7 +84,7 @@
         control.place(NOW, ask(&format!("other{number}"))).unwrap();
     }
     control.place(NOW, at_home("r", &["south"])).unwrap();
-    let target = control.place_again(NOW, "r").unwrap();
+    let target = control.restart_stream(NOW, "r").unwrap();
     assert_eq!(target.replica.availability_zone, "z2");
 }
 
@@ -101,12 +101,12 @@
 #[test]
 fn a_home_that_is_evacuated_is_left_to_nobody_else() {
     let mut control = two_regions();
-    let told = iristhread_core::ToldEvacuations {
+    let told = iristhread_core::AdvertisedEvacuations {
         revision: 2.into(),
         zones: vec!["z2".to_owned()],
     };
     control
-        .offer_evacuations(NOW, iristhread_core::EvacuationNews::Whole(told))
+        .offer_evacuations(NOW, iristhread_core::EvacuationUpdate::Whole(told))
         .unwrap();
     let refusal = control.place(NOW, at_home("r", &["south"])).unwrap_err();
     assert!(refusal.message.contains("evacuated"), "{}", refusal.message);
--- a/crates/core/tests/gateway_list.rs
+++ b/crates/core/tests/gateway_list.rs
@@ -38,11 +38,11 @@
 fn only_what_has_changed_is_handed_on() {
     let mut source = fleet_of(3_000);
     let mut behind = ReplicaList::default();
-    behind.hear(NOW, source.told_since(NOW, 0));
+    behind.hear(NOW, source.delta_since(NOW, 0));
     source.change(NOW, 11, listed_change(leaving("e7", "z1")));
     source.change(NOW, 12, vec![ReplicaChange::Removed("e8".to_owned())]);
     source.change(NOW, 13, listed_change(engine("new", "z1")));
-    let told = source.told_since(NOW, behind.revision());
+    let told = source.delta_since(NOW, behind.revision());
     assert_eq!((told.replicas.len(), told.removed.len()), (2, 1));
     assert!(behind.hear(NOW, told));
     assert_eq!(listed(&behind, NOW), listed(&source, NOW));
@@ -52,15 +52,15 @@
 #[test]
 fn who_knows_nothing_gets_the_whole_list() {
     let source = fleet_of(5);
-    let told = source.told_since(NOW, 0);
+    let told = source.delta_since(NOW, 0);
     assert_eq!((told.above, told.replicas.len()), (0.into(), 5));
 }
 
 #[test]
 fn a_change_from_before_the_source_knew_the_list_makes_it_whole() {
     let source = fleet_of(5);
-    assert_eq!(source.told_since(NOW, 9).above, 0.into());
-    assert_eq!(source.told_since(NOW, 10).above, 10.into());
+    assert_eq!(source.delta_since(NOW, 9).above, 0.into());
+    assert_eq!(source.delta_since(NOW, 10).above, 10.into());
 }
 
 #[test]
@@ -70,7 +70,7 @@
     behind.hear(NOW, source.told(NOW));
     source.change(NOW, 11, vec![ReplicaChange::Removed("e1".to_owned())]);
     source.change(NOW, 12, vec![ReplicaChange::Removed("e2".to_owned())]);
-    assert!(!behind.hear(NOW, source.told_since(NOW, 11)));
+    assert!(!behind.hear(NOW, source.delta_since(NOW, 11)));
     assert_eq!(behind.revision(), 10.into());
     assert_eq!(behind.state("e1"), ListedState::Serving);
 }
@@ -86,8 +86,8 @@
     source.change(NOW, 11, vec![ReplicaChange::Removed("e1".to_owned())]);
     source.change(NOW, 12, vec![ReplicaChange::Removed("e2".to_owned())]);
     source.change(NOW + ms(900), 13, listed_change(engine("e2", "z1")));
-    behind.hear(NOW + ms(950), source.told_since(NOW + ms(950), 10));
-    assert_eq!(behind.state("e1"), ListedState::Lapsed);
+    behind.hear(NOW + ms(950), source.delta_since(NOW + ms(950), 10));
+    assert_eq!(behind.state("e1"), ListedState::Expired);
     assert_eq!(behind.state("e2"), ListedState::Serving);
     assert_eq!(behind.expire(NOW + ms(2_000)), ["e1"]);
 }
@@ -123,7 +123,7 @@
                 source.change(NOW, revision, vec![change]);
             }
             let place = random.next_u32() as usize % others.len();
-            let told = source.told_since(NOW, others[place].revision());
+            let told = source.delta_since(NOW, others[place].revision());
             if random.next_u32().is_multiple_of(3) {
                 late.push((place, told));
                 continue;
--- a/crates/core/tests/gateway_lives.rs
+++ b/crates/core/tests/gateway_lives.rs
@@ -42,17 +42,17 @@
 
 /// What was believed of the first life.
 #[derive(Clone, Copy)]
-enum Belief {
+enum ServerView {
     Failed,
     Unreachable,
     Leaves,
 }
 
-fn believe(control: &mut GatewayControl, belief: Belief) {
+fn believe(control: &mut GatewayControl, belief: ServerView) {
     match belief {
-        Belief::Failed => (0..6).for_each(|_| control.failed(NOW, "a")),
-        Belief::Unreachable => control.unreachable(NOW, "a"),
-        Belief::Leaves => drop(control.leaves(NOW, &life(1), true)),
+        ServerView::Failed => (0..6).for_each(|_| control.failed(NOW, "a")),
+        ServerView::Unreachable => control.unreachable(NOW, "a"),
+        ServerView::Leaves => drop(control.leaves(NOW, &life(1), true)),
     }
 }
 
@@ -83,7 +83,7 @@
         News::Told => {
             let mut other = control_with(&[]);
             other.offer_replicas(now, revision, vec![back]);
-            control.hear_list(now, other.list().told(now));
+            control.apply_peer_list(now, other.list().told(now));
         }
     }
 }
@@ -102,14 +102,14 @@
     vec![a, engine("spare", "z1")]
 }
 
-#[test_case(Belief::Failed, News::Written)]
-#[test_case(Belief::Failed, News::GoneAndWritten)]
-#[test_case(Belief::Unreachable, News::Written)]
-#[test_case(Belief::Unreachable, News::Whole)]
-#[test_case(Belief::Leaves, News::Written)]
-#[test_case(Belief::Leaves, News::GoneAndWritten)]
-#[test_case(Belief::Leaves, News::Told)]
-fn it_takes_requests_at_once(belief: Belief, news: News) {
+#[test_case(ServerView::Failed, News::Written)]
+#[test_case(ServerView::Failed, News::GoneAndWritten)]
+#[test_case(ServerView::Unreachable, News::Written)]
+#[test_case(ServerView::Unreachable, News::Whole)]
+#[test_case(ServerView::Leaves, News::Written)]
+#[test_case(ServerView::Leaves, News::GoneAndWritten)]
+#[test_case(ServerView::Leaves, News::Told)]
+fn it_takes_requests_at_once(belief: ServerView, news: News) {
     let mut control = one_engine();
     believe(&mut control, belief);
     assert!(!takes_requests(&mut control), "the belief holds");
@@ -123,7 +123,7 @@
 #[test]
 fn a_belief_outlasts_an_entry_of_the_same_life() {
     let mut control = one_engine();
-    believe(&mut control, Belief::Unreachable);
+    believe(&mut control, ServerView::Unreachable);
     is_back(&mut control, News::Written, 1);
     assert!(!takes_requests(&mut control));
 }
@@ -146,8 +146,8 @@
 #[test]
 fn what_peers_are_told_names_the_life() {
     let mut control = one_engine();
-    believe(&mut control, Belief::Leaves);
-    let told = control.lives_of(control.said_leaving(NOW, false));
+    believe(&mut control, ServerView::Leaves);
+    let told = control.incarnations_of(control.said_leaving(NOW, false));
     assert_eq!(told, [life(1)]);
     is_back(&mut control, News::Written, 2);
     assert!(control.said_leaving(NOW, false).is_empty());
@@ -174,7 +174,7 @@
     let keeper = ranking.backup.unwrap();
     let back = born(&keeper.id, 2);
     control.change_replicas(NOW, 3, vec![ReplicaChange::Listed(back)]);
-    assert!(control.carry(NOW, "running").is_none());
+    assert!(control.fail_over(NOW, "running").is_none());
     assert!(
         control.take_orphaned().is_empty(),
         "the session runs elsewhere"
--- a/crates/core/tests/gateway_notices.rs
+++ b/crates/core/tests/gateway_notices.rs
@@ -5,9 +5,9 @@
 
 use std::time::Duration;
 
+use iristhread_core::DeclaredLimit;
 use iristhread_core::GatewayControl;
 use iristhread_core::ListedState;
-use iristhread_core::NamedLimit;
 use iristhread_core::Now;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
@@ -27,15 +27,15 @@
 
 const LEAVES: ServerNotice = ServerNotice {
     is_leaving: true,
-    retry_after: RetryAfter::NotTold,
-    limit: NamedLimit::NotTold,
+    retry_after: RetryAfter::Absent,
+    limit: DeclaredLimit::Absent,
 };
 
 fn rest(time: Duration) -> ServerNotice {
     ServerNotice {
         is_leaving: false,
         retry_after: RetryAfter::In(time),
-        limit: NamedLimit::NotTold,
+        limit: DeclaredLimit::Absent,
     }
 }
 
@@ -154,7 +154,10 @@
     let mut control = control_with(&["a", "b"]);
     notice(&mut control, NOW, &engine("a", "z1"), rest(ms(4_000)));
     let otherwise = ms(300);
-    assert_eq!(control.return_after(NOW, &ask("r1"), otherwise), otherwise);
+    assert_eq!(
+        control.caller_retry_after(NOW, &ask("r1"), otherwise),
+        otherwise
+    );
 }
 
 #[test]
@@ -168,7 +171,7 @@
     }
     let moves = control.leaves(NOW, &engine("a", "z1").server_life(), true);
     assert!(moves.unwrap().iter().all(|moving| moving.target.id != "b"));
-    control.list_lost(true);
+    control.set_list_stale(true);
     let asked = control.engine_checks(NOW).ask;
     assert!(asked.iter().all(|engine| engine.id != "b"));
 }
@@ -202,7 +205,7 @@
     let mut control = control_with_lives(&["a"]);
     control.outage_ended(NOW);
     control.change_replicas(NOW, 11, vec![ReplicaChange::Removed("a".to_owned())]);
-    assert_eq!(control.list().state("a"), ListedState::Lapsed);
+    assert_eq!(control.list().state("a"), ListedState::Expired);
     notice(&mut control, NOW, &born("a", 1), LEAVES);
     assert_eq!(chosen(&mut control, NOW + ms(10), "r1"), None);
     let again = vec![ReplicaChange::Listed(born("a", 1))];
@@ -258,7 +261,7 @@
     let mut control = control_with_lives(&["a", "b"]);
     notice(&mut control, NOW, &born("a", 1), LEAVES);
     let mut other = control_with(&[]);
-    other.hear_list(NOW, control.list().told(NOW));
+    other.apply_peer_list(NOW, control.list().told(NOW));
     assert_eq!(other.list().state("a"), ListedState::Leaving);
     assert_eq!(other.list().state("b"), ListedState::Serving);
 }
@@ -269,11 +272,14 @@
     let mut control = control_with_lives(&["a", "b"]);
     notice(&mut control, NOW, &born("a", 1), LEAVES);
     notice(&mut control, NOW, &born("b", 1), rest(ms(500)));
-    let stops = control.send_stops(NOW);
+    let stops = control.send_restrictions(NOW);
     assert!(stops.leaving.contains(&born("a", 1).life()));
-    let until = stops.rests_until(NOW + ms(499), born("b", 1).life());
+    let until = stops.backoff_until(NOW + ms(499), born("b", 1).life());
     assert_eq!(until, Some(NOW + ms(500)));
-    assert_eq!(stops.rests_until(NOW + ms(500), born("b", 1).life()), None);
+    assert_eq!(
+        stops.backoff_until(NOW + ms(500), born("b", 1).life()),
+        None
+    );
     assert_eq!(control.resting(NOW), 1);
 }
 
@@ -285,11 +291,16 @@
     notice(&mut control, NOW, &born("b", 1), rest(ms(500)));
     control.offer_replicas(NOW, 11, Vec::new());
     control.tick(NOW + ms(59_000));
-    assert_eq!(control.send_stops(NOW).leaving.len(), 1);
-    assert!(control.send_stops(NOW + ms(5_000)).leaving.is_empty());
+    assert_eq!(control.send_restrictions(NOW).leaving.len(), 1);
+    assert!(
+        control
+            .send_restrictions(NOW + ms(5_000))
+            .leaving
+            .is_empty()
+    );
     control.tick(NOW + ms(60_001));
-    assert!(control.send_stops(NOW).leaving.is_empty());
-    assert!(control.send_stops(Duration::ZERO).resting.is_empty());
+    assert!(control.send_restrictions(NOW).leaving.is_empty());
+    assert!(control.send_restrictions(Duration::ZERO).resting.is_empty());
 }
 
 /// After a long rest they needn't be spread for as long again.
