--- a/crates/core/tests/gateway_placing.rs
+++ b/crates/core/tests/gateway_placing.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::LoadShare;
 use iristhread_core::RefusalKind;
 use iristhread_core::Replica;
@@ -65,7 +65,7 @@
         ..LoadShare::default()
     };
     let shares = BTreeMap::from([("e1".to_owned(), heavy)]);
-    control.hear_peer(ZERO, told("i2", 1, shares));
+    control.apply_peer_load(ZERO, told("i2", 1, shares));
     assert_eq!(first(&mut control, "r1"), "e2");
 }
 
@@ -78,8 +78,8 @@
         ..LoadShare::default()
     };
     let on_e1 = BTreeMap::from([("e1".to_owned(), heavy)]);
-    control.hear_peer(ZERO, told("i2", 5, BTreeMap::new()));
-    control.hear_peer(ZERO, told("i2", 4, on_e1));
+    control.apply_peer_load(ZERO, told("i2", 5, BTreeMap::new()));
+    control.apply_peer_load(ZERO, told("i2", 4, on_e1));
     let chosen: HashSet<String> = (0..2)
         .map(|number| first(&mut control, &format!("r{number}")))
         .collect();
@@ -142,7 +142,7 @@
         ..LoadShare::default()
     };
     let shares = BTreeMap::from([("near".to_owned(), load)]);
-    control.hear_peer(ZERO, told("i2", 1, shares));
+    control.apply_peer_load(ZERO, told("i2", 1, shares));
     assert_eq!(first(&mut control, "r1"), expected);
 }
 
@@ -201,7 +201,7 @@
                 }
                 4 if !running.is_empty() => {
                     let place = random.next_u32() as usize % running.len();
-                    if let Some(target) = control.carry(now, &running[place]) {
+                    if let Some(target) = control.fail_over(now, &running[place]) {
                         assert_ne!(target.replica.id, target.from);
                         assert!(!gone.contains(&target.replica.id), "seed {seed}");
                     }
@@ -233,17 +233,17 @@
     let shares = shares.map(|(id, tokens)| (id.to_owned(), load(tokens)));
     let chosen: HashSet<String> = (0..40)
         .map(|seed| {
-            let mut control = GatewayControl::new(GatewayTerms { seed, ..terms() });
+            let mut control = GatewayControl::new(GatewayParameters { seed, ..terms() });
             control.offer_config(Arc::new(config(1)));
             let engines = ["e1", "e2", "e3", "e4"].map(|id| engine(id, "z1"));
             control.offer_replicas(ZERO, 1, engines.to_vec());
-            control.hear_peer(ZERO, told("i2", 1, BTreeMap::from(shares.clone())));
+            control.apply_peer_load(ZERO, told("i2", 1, BTreeMap::from(shares.clone())));
             if by_relays {
                 let mut relay = told("i9", 1, BTreeMap::new());
                 relay.zone = "z2".to_owned();
                 relay.digest = Some(ZoneDigest::default());
                 relay.digest.as_mut().unwrap().instances = 4;
-                control.hear_peer(ZERO, relay);
+                control.apply_peer_load(ZERO, relay);
             }
             first(&mut control, "r1")
         })
@@ -273,7 +273,7 @@
         .iter()
         .map(|zone| {
             let zone = (*zone).to_owned();
-            let mut control = GatewayControl::new(GatewayTerms { zone, ..terms() });
+            let mut control = GatewayControl::new(GatewayParameters { zone, ..terms() });
             control.offer_config(Arc::new(config(1)));
             let mut all: Vec<Replica> = engines.iter().map(|id| engine(id, "z5")).collect();
             for zone in zones {
@@ -288,7 +288,7 @@
                 instances: 4,
                 shares: BTreeMap::new(),
             });
-            control.hear_peer(ZERO, relay);
+            control.apply_peer_load(ZERO, relay);
             first(&mut control, "r1")
         })
         .collect();
--- a/crates/core/tests/gateway_relays.rs
+++ b/crates/core/tests/gateway_relays.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::Arrival;
 use iristhread_core::LoadShare;
 use iristhread_core::MessageOrder;
 use iristhread_core::PeerLoads;
-use iristhread_core::ToldLoads;
 use iristhread_core::ZoneDigest;
 use test_case::test_case;
 
@@ -183,12 +183,15 @@
     let mut order = MessageOrder::new("one".to_owned(), 7);
     assert_eq!(order.arrive(&"one".to_owned(), 7), Arrival::Old);
     assert_eq!(order.arrive(&"one".to_owned(), 8), Arrival::Newer);
-    assert_eq!(order.arrive(&"two".to_owned(), 1), Arrival::FirstOfLife);
+    assert_eq!(
+        order.arrive(&"two".to_owned(), 1),
+        Arrival::FirstOfIncarnation
+    );
     assert_eq!(order.arrive(&"one".to_owned(), 9), Arrival::Old);
     assert_eq!(order.arrive(&"two".to_owned(), 2), Arrival::Newer);
 }
 
-fn told(instance: &str, zone: &str, tokens: u64, digest: Option<u64>) -> ToldLoads {
+fn told(instance: &str, zone: &str, tokens: u64, digest: Option<u64>) -> AdvertisedLoads {
     let shares = |session_tokens| {
         let load = LoadShare {
             session_tokens,
@@ -196,7 +199,7 @@
         };
         BTreeMap::from([("e1".to_owned(), load)])
     };
-    ToldLoads {
+    AdvertisedLoads {
         instance: instance.to_owned(),
         incarnation: "life".to_owned(),
         sequence: 1,
--- a/crates/core/tests/gateway_scene/fleet.rs
+++ b/crates/core/tests/gateway_scene/fleet.rs
@@ -17,7 +17,7 @@
         instance: format!("i{number}"),
         incarnation: "life".to_owned(),
         sequence: 1,
-        said_at: ms(1_000),
+        sent_at: ms(1_000),
         zone: zone.to_owned(),
         core_millis: 120,
         has_relays: false,
--- a/crates/core/tests/gateway_scene/mod.rs
+++ b/crates/core/tests/gateway_scene/mod.rs
@@ -7,23 +7,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::CallerLimits;
-use iristhread_core::Content;
 use iristhread_core::EngineTraits;
 use iristhread_core::Fingerprint;
+use iristhread_core::FingerprintInput;
 use iristhread_core::GatewayConfig;
 use iristhread_core::GatewayControl;
+use iristhread_core::GatewayParameters;
 use iristhread_core::GatewayService;
-use iristhread_core::GatewayTerms;
 use iristhread_core::GatewayWorkspace;
 use iristhread_core::LoadShare;
 use iristhread_core::LoadShares;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::Replica;
 use iristhread_core::RequestClass;
 use iristhread_core::Route;
 use iristhread_core::RouteTarget;
-use iristhread_core::ToldLoads;
 
 /// Tokens that fit into one engine of the scene.
 pub const MEMORY_TOKENS: u64 = 10_000;
@@ -98,13 +98,13 @@
     }
 }
 
-pub fn terms() -> GatewayTerms {
-    GatewayTerms {
+pub fn terms() -> GatewayParameters {
+    GatewayParameters {
         instance: "i1".to_owned(),
         zone: "z1".to_owned(),
         retry_ratio: 0.1,
         retry_extra: 9.0,
-        least_sharers: 3,
+        min_sharers: 3,
         memory_limit: 1.0,
         copy_limit: 0.75,
         least_copied_tokens: 100,
@@ -151,7 +151,7 @@
 
 /// The content of a request whose body is `body`.
 pub fn fingerprint(body: &str) -> Fingerprint {
-    Fingerprint::of(&Content {
+    Fingerprint::of(&FingerprintInput {
         workspace: Some("one"),
         method: "POST",
         host: "shop.example",
@@ -161,8 +161,8 @@
 }
 
 /// A session of 1,000 tokens of prompt and a guess of 400 tokens.
-pub fn ask(request: &str) -> PlacementAsk {
-    PlacementAsk {
+pub fn ask(request: &str) -> PlacementRequest {
+    PlacementRequest {
         request: request.to_owned(),
         fingerprint: fingerprint(request),
         service: "engines".to_owned(),
@@ -181,12 +181,12 @@
         ..LoadShare::default()
     };
     let shares = BTreeMap::from([(id.to_owned(), load)]);
-    control.hear_peer(Duration::ZERO, told("i2", 1, shares));
+    control.apply_peer_load(Duration::ZERO, told("i2", 1, shares));
 }
 
 /// What an instance of zone z1 tells.
-pub fn told(instance: &str, sequence: u64, shares: LoadShares) -> ToldLoads {
-    ToldLoads {
+pub fn told(instance: &str, sequence: u64, shares: LoadShares) -> AdvertisedLoads {
+    AdvertisedLoads {
         instance: instance.to_owned(),
         incarnation: "life".to_owned(),
         sequence,
--- a/crates/core/tests/limit_scene/mod.rs
+++ b/crates/core/tests/limit_scene/mod.rs
@@ -5,15 +5,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
+use iristhread_core::DeclaredLimit;
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
-use iristhread_core::HeardNotice;
-use iristhread_core::NamedLimit;
+use iristhread_core::GatewayParameters;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Replica;
 use iristhread_core::RunEnd;
 use iristhread_core::ServerNotice;
-use iristhread_core::ToldLoads;
 
 use crate::gateway_scene::ask;
 use crate::gateway_scene::config;
@@ -27,22 +27,22 @@
 /// The span in which what reaches a server is counted.
 pub const SPAN: Duration = Duration::from_secs(4);
 
-pub fn names_limit(per_s: &str, sent_at: Now) -> HeardNotice {
-    HeardNotice {
+pub fn names_limit(per_s: &str, sent_at: Now) -> ObservedNotice {
+    ObservedNotice {
         notice: ServerNotice {
-            limit: NamedLimit::parse(per_s),
+            limit: DeclaredLimit::parse(per_s),
             ..ServerNotice::default()
         },
         sent_at,
-        tells_limits: true,
+        reports_limits: true,
     }
 }
 
-pub fn names_none(sent_at: Now) -> HeardNotice {
-    HeardNotice {
+pub fn names_none(sent_at: Now) -> ObservedNotice {
+    ObservedNotice {
         notice: ServerNotice::default(),
         sent_at,
-        tells_limits: true,
+        reports_limits: true,
     }
 }
 
@@ -104,19 +104,19 @@
         for from in 0..self.instances.len() {
             let control = &mut self.instances[from];
             control.tick(now);
-            let limits = control.told_limits(now, false);
-            let loads = ToldLoads {
+            let limits = control.advertised_limits(now, false);
+            let loads = AdvertisedLoads {
                 instance: format!("i{from}"),
                 incarnation: "life".to_owned(),
                 sequence: self.now_ms,
                 zone: "z1".to_owned(),
-                shares: control.told_shares(now),
+                shares: control.advertised_shares(now),
                 digest: None,
             };
             for to in 0..self.instances.len() {
                 if to != from && (!self.is_cut || to % 2 == from % 2) {
-                    self.instances[to].hear_peer(now, loads.clone());
-                    self.instances[to].hear_limits(now, limits.clone());
+                    self.instances[to].apply_peer_load(now, loads.clone());
+                    self.instances[to].apply_peer_limits(now, limits.clone());
                 }
             }
         }
@@ -174,7 +174,7 @@
 }
 
 pub fn instance(number: usize, servers: &[Replica]) -> GatewayControl {
-    let mut control = GatewayControl::new(GatewayTerms {
+    let mut control = GatewayControl::new(GatewayParameters {
         instance: format!("i{number}"),
         seed: number as u64,
         ..terms()
--- a/crates/core/tests/limit_share.rs
+++ b/crates/core/tests/limit_share.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use iristhread_core::EventRate;
+use iristhread_core::LimitParameters;
 use iristhread_core::LimitShare;
-use iristhread_core::LimitTerms;
 use iristhread_core::Now;
 use iristhread_core::RequestRate;
 use test_case::test_case;
@@ -15,15 +15,15 @@
 }
 
 fn per_s(rate: f64) -> RequestRate {
-    RequestRate::of_per_s(rate)
+    RequestRate::from_per_s(rate)
 }
 
 /// Grants of a share that wishes ten times a second, from second 3 to 13.
 fn granted(limit: f64, others: f64, earned: f64) -> usize {
-    let mut share = LimitShare::new(ms(0), LimitTerms::default(), earned);
+    let mut share = LimitShare::new(ms(0), LimitParameters::default(), earned);
     let grants = (0..130).map(|number| {
         let now = ms(number * 100);
-        let is_granted = share.wish(now, per_s(limit), per_s(others));
+        let is_granted = share.request_grant(now, per_s(limit), per_s(others));
         now >= ms(3_000) && is_granted
     });
     grants.filter(|is_granted| *is_granted).count()
@@ -49,12 +49,13 @@
     let limit = per_s(4.0);
     let shares = (0..300).map(|number| {
         let earned = f64::from(number) / 300.0;
-        LimitShare::new(ms(0), LimitTerms::default(), earned)
+        LimitShare::new(ms(0), LimitParameters::default(), earned)
     });
     // Each wishes once a minute, and tells the others.
     let others = per_s(5.0);
     let at = ms(600_000);
-    let granted = shares.filter_map(|mut share| share.wish(at, limit, others).then_some(()));
+    let granted =
+        shares.filter_map(|mut share| share.request_grant(at, limit, others).then_some(()));
     let granted = granted.count();
     assert!(granted <= 200, "{granted}");
     // The part of a wish that the limit is: 2.8 of 5.
@@ -76,11 +77,11 @@
 /// The others go on with old shares until they hear of a burst.
 #[test]
 fn a_rise_of_wishes_is_news_and_steady_ones_are_not() {
-    let mut share = LimitShare::new(ms(0), LimitTerms::default(), 0.0);
+    let mut share = LimitShare::new(ms(0), LimitParameters::default(), 0.0);
     let mut news = 0;
     for number in 0..100 {
         let now = ms(number * 100);
-        share.wish(now, per_s(4.0), per_s(10.0));
+        share.request_grant(now, per_s(4.0), per_s(10.0));
         if share.is_news(now) {
             news += 1;
             share.tell(now);
@@ -88,7 +89,7 @@
     }
     assert!(news <= 4, "{news}");
     for number in 0..30 {
-        share.wish(ms(10_000 + number * 10), per_s(4.0), per_s(10.0));
+        share.request_grant(ms(10_000 + number * 10), per_s(4.0), per_s(10.0));
     }
     assert!(share.is_news(ms(10_300)));
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -14,14 +14,14 @@
 use iristhread_core::HybridClock;
 use iristhread_core::HybridTime;
 use iristhread_core::InstanceEntry;
+use iristhread_core::InstanceList;
 use iristhread_core::InstanceState;
 use iristhread_core::Keyring;
 use iristhread_core::Offer;
 use iristhread_core::OfferVerdict;
 use iristhread_core::PeerGuard;
 use iristhread_core::PeerRejection;
-use iristhread_core::ReaderRota;
-use iristhread_core::Roster;
+use iristhread_core::ReaderRanking;
 use iristhread_core::RoutingPolicy;
 use proptest::prelude::ProptestConfig;
 use proptest::prelude::any;
@@ -54,10 +54,10 @@
     }
 }
 
-fn roster(size: usize) -> Roster {
-    let mut roster = Roster::default();
-    roster.offer(1, (0..size).map(entry).collect());
-    roster
+fn instance_list(size: usize) -> InstanceList {
+    let mut instance_list = InstanceList::default();
+    instance_list.offer(1, (0..size).map(entry).collect());
+    instance_list
 }
 
 proptest! {
@@ -82,10 +82,10 @@
     /// A roster from a stale replica changes nothing.
     #[test]
     fn an_older_list_is_ignored(versions in prop::collection::vec(1_u64..20, 1..40)) {
-        let mut roster = Roster::default();
+        let mut instance_list = InstanceList::default();
         for version in versions {
-            let before = roster.version();
-            let taken = roster.offer(version, vec![entry(version as usize)]);
+            let before = instance_list.version();
+            let taken = instance_list.offer(version, vec![entry(version as usize)]);
             prop_assert_eq!(taken, version > before);
         }
     }
@@ -100,26 +100,27 @@
 #[test_case(270, 20, 8; "more are silent")]
 #[test_case(9, 60, 9; "all take part in the end")]
 fn readers_of_a_zone(size: usize, age_s: u64, expected: usize) {
-    let roster = roster(size);
+    let instance_list = instance_list(size);
     let age = Duration::from_secs(age_s);
-    let reads =
-        |number: &usize| ReaderRota::new(format!("i{number}"), "a".to_owned()).reads(&roster, age);
+    let reads = |number: &usize| {
+        ReaderRanking::new(format!("i{number}"), "a".to_owned()).reads(&instance_list, age)
+    };
     assert_eq!((0..size).filter(reads).count(), expected);
 }
 
 #[test]
 fn an_instance_that_is_not_listed_reads_for_itself() {
-    let rota = ReaderRota::new("new".to_owned(), "a".to_owned());
-    assert!(rota.reads(&roster(9), Duration::ZERO));
-    assert!(rota.reads(&Roster::default(), Duration::ZERO));
+    let rota = ReaderRanking::new("new".to_owned(), "a".to_owned());
+    assert!(rota.reads(&instance_list(9), Duration::ZERO));
+    assert!(rota.reads(&InstanceList::default(), Duration::ZERO));
 }
 
 /// Its rank does not matter: it has nothing to serve with.
 #[test]
 fn an_instance_without_a_configuration_reads() {
-    let fleet = roster(9);
+    let fleet = instance_list(9);
     let is_reader = |number: &usize| {
-        let rota = ReaderRota::new(format!("i{number}"), "a".to_owned());
+        let rota = ReaderRanking::new(format!("i{number}"), "a".to_owned());
         rota.reads(&fleet, Duration::ZERO)
     };
     let number = (0..9).find(|number| !is_reader(number)).unwrap();
--- a/crates/core/tests/placing.rs
+++ b/crates/core/tests/placing.rs
@@ -14,9 +14,9 @@
 use iristhread_core::Document;
 use iristhread_core::EngineRole;
 use iristhread_core::Event;
-use iristhread_core::HeardNotice;
 use iristhread_core::LoadReport;
 use iristhread_core::Model;
+use iristhread_core::ObservedNotice;
 use iristhread_core::RefusalKind;
 use iristhread_core::RetryAfter;
 use iristhread_core::RoutingPolicy;
@@ -126,10 +126,10 @@
             ..ServerNotice::default()
         };
         let backend = engine.to_owned();
-        let heard = HeardNotice {
+        let heard = ObservedNotice {
             notice,
             sent_at: Duration::ZERO,
-            tells_limits: false,
+            reports_limits: false,
         };
         self.handle(Event::NoticeReceived { backend, heard });
     }
--- a/crates/core/tests/reading_waits.rs
+++ b/crates/core/tests/reading_waits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use iristhread_core::ReadingWaits;
+use iristhread_core::ReadTiming;
 use test_case::test_case;
 
 const fn ms(ms: u64) -> Duration {
@@ -23,11 +23,11 @@
     calm_ms: u64,
 ) {
     let beat = ms(beat_ms);
-    let waits = ReadingWaits { has_relays, beat };
-    for sum in [waits.told_by_nobody(), waits.handed_over_by_nobody()] {
+    let waits = ReadTiming { has_relays, beat };
+    for sum in [waits.bound_without_update(), waits.bound_without_transfer()] {
         assert!(sum < ms(in_force_ms), "{sum:?}");
     }
-    for sum in [waits.after_a_silence(), waits.after_trouble()] {
+    for sum in [waits.bound_after_stall(), waits.bound_after_outage()] {
         assert!(sum < ms(calm_ms), "{sum:?}");
     }
 }
--- a/crates/core/tests/relay_scene/mod.rs
+++ b/crates/core/tests/relay_scene/mod.rs
@@ -6,6 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::Arrival;
 use iristhread_core::FleetMembers;
 use iristhread_core::LoadShare;
@@ -13,7 +14,6 @@
 use iristhread_core::MemberState;
 use iristhread_core::Now;
 use iristhread_core::PeerLoads;
-use iristhread_core::ToldLoads;
 use rand_core::Rng;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
@@ -29,7 +29,7 @@
 struct Beat {
     address: SocketAddr,
     state: MemberState,
-    told: ToldLoads,
+    told: AdvertisedLoads,
     addresses: Vec<SocketAddr>,
 }
 
@@ -208,12 +208,12 @@
         let incarnation = format!("life {}", instance.life);
         let mut beat = Beat {
             address: address(own),
-            addresses: instance.members.told_addresses(now, &mut self.random),
+            addresses: instance.members.advertised_addresses(now, &mut self.random),
             state: MemberState {
                 instance: format!("i{own}"),
                 incarnation: incarnation.clone(),
                 sequence: instance.sequence,
-                said_at: now,
+                sent_at: now,
                 zone: instance.zone.clone(),
                 core_millis: core_millis(own, zones),
                 has_relays: instance.members.has_relays(),
@@ -223,7 +223,7 @@
                 list_confirmed_at: Some(now),
                 can_read: true,
             },
-            told: ToldLoads {
+            told: AdvertisedLoads {
                 instance: format!("i{own}"),
                 incarnation,
                 sequence: instance.sequence,
@@ -233,7 +233,7 @@
             },
         };
         let digest = instance.loads.digest(&shares);
-        instance.beats_at = now + instance.members.beat_interval(now);
+        instance.beats_at = now + instance.members.heartbeat_interval(now);
         let near = beat.clone();
         beat.told.digest = Some(digest);
         beat.told.sequence += 1;
@@ -247,7 +247,7 @@
         for to in &fan_out.direct {
             self.send(own, number(to), false, vec![near.clone()]);
         }
-        if fan_out.passes_on {
+        if fan_out.forwards_to_zone {
             self.pass_on(own, near);
         }
     }
@@ -309,10 +309,10 @@
                 continue;
             }
             for address in &beat.addresses {
-                members.hear_of(now, *address);
+                members.learn_address(now, *address);
             }
-            if arrival == Arrival::FirstOfLife && beat.address == address(from) {
-                members.greet(beat.address);
+            if arrival == Arrival::FirstOfIncarnation && beat.address == address(from) {
+                members.queue_immediate_heartbeat(beat.address);
                 instance.beats_at = instance.beats_at.min(now + STEP);
             }
             if members.follows(&beat.state.zone) || beat.told.digest.is_some() {
--- a/crates/core/tests/revision.rs
+++ b/crates/core/tests/revision.rs
@@ -7,8 +7,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
 use iristhread_core::EvacuationChange;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::GatewayControl;
 use iristhread_core::ListedState;
 use iristhread_core::Now;
@@ -16,7 +17,6 @@
 use iristhread_core::ReplicaChange;
 use iristhread_core::ReplicaList;
 use iristhread_core::Revision;
-use iristhread_core::ToldEvacuations;
 use iristhread_core::ZoneEvacuations;
 use proptest::collection::vec;
 use proptest::prelude::Strategy;
@@ -79,7 +79,7 @@
     let mut control = fresh();
     lists(&mut control, at(1, 9), &[born("a", 1), born("b", 1)]);
     lists(&mut control, at(2, 3), &[born("a", 1)]);
-    assert_eq!(control.list().state("b"), ListedState::Lapsed);
+    assert_eq!(control.list().state("b"), ListedState::Expired);
     assert_eq!(control.list().lapsed(), ["b"]);
     control.change_replicas(NOW + ms(1_500), at(2, 4), listed(born("b", 1)));
     control.tick(NOW + ms(5_000));
@@ -103,7 +103,7 @@
     control.change_replicas(NOW, at(1, 9), vec![removed("a")]);
     lists(&mut control, at(2, 3), &[born("a", 1)]);
     assert!(control.place(NOW + ms(100), ask("r1")).is_err());
-    assert_eq!(control.list().unproven(NOW + ms(100)), ["a"]);
+    assert_eq!(control.list().unconfirmed(NOW + ms(100)), ["a"]);
     assert!(
         control.place(NOW + ms(4_100), ask("r2")).is_ok(),
         "it stayed"
@@ -132,7 +132,7 @@
     lists(&mut control, at(2, 3), &[born("a", 1)]);
     assert!(control.take_orphaned().is_empty());
     assert_eq!(control.list().replica("a").unwrap().born_ms, Some(2));
-    assert_eq!(control.list().state("a"), ListedState::Lapsed);
+    assert_eq!(control.list().state("a"), ListedState::Expired);
 }
 
 #[test]
@@ -140,7 +140,7 @@
     let mut source = ReplicaList::default();
     source.snapshot(NOW, at(1, 9), vec![born("a", 1)]);
     source.snapshot(NOW, at(2, 3), vec![born("a", 1), born("b", 1)]);
-    let told = source.told_since(NOW, at(1, 9));
+    let told = source.delta_since(NOW, at(1, 9));
     assert!(told.above.is_none());
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 9), vec![born("a", 1)]);
@@ -148,8 +148,8 @@
     assert_eq!(behind.state("b"), ListedState::Serving);
 }
 
-fn zones(revision: Revision, zones: &[&str]) -> EvacuationNews {
-    EvacuationNews::Whole(ToldEvacuations {
+fn zones(revision: Revision, zones: &[&str]) -> EvacuationUpdate {
+    EvacuationUpdate::Whole(AdvertisedEvacuations {
         revision,
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
     })
@@ -165,7 +165,7 @@
     evacuations.take(NOW, zones(at(2, 3), &[])).unwrap();
     assert!(evacuations.is_evacuated("z1"));
     assert!(evacuations.told().zones.is_empty(), "nobody is told of it");
-    let again = EvacuationNews::Changed {
+    let again = EvacuationUpdate::Changed {
         after: at(2, 3),
         revision: at(2, 4),
         changes: vec![EvacuationChange::Began("z1".to_owned())],
@@ -185,7 +185,7 @@
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 3), Vec::new());
     teller.snapshot(NOW, at(1, 4), vec![born("a", 1)]);
-    behind.hear(NOW, teller.told_since(NOW, behind.revision()));
+    behind.hear(NOW, teller.delta_since(NOW, behind.revision()));
     assert_eq!(behind.state("a"), ListedState::Serving);
 }
 
@@ -205,7 +205,7 @@
     teller.change(NOW, at(1, 4), listed(born("a", 1)));
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 3), Vec::new());
-    behind.hear(NOW, teller.told_since(NOW, behind.revision()));
+    behind.hear(NOW, teller.delta_since(NOW, behind.revision()));
     assert_eq!(behind.state("a"), ListedState::Serving);
 }
 
@@ -217,7 +217,7 @@
     teller.change(NOW, at(1, 3), vec![removed("a")]);
     let mut behind = ReplicaList::default();
     behind.snapshot(NOW, at(1, 2), vec![born("a", 1)]);
-    behind.hear(NOW, teller.told_since(NOW, behind.revision()));
+    behind.hear(NOW, teller.delta_since(NOW, behind.revision()));
     assert_eq!(behind.state("a"), ListedState::Removed);
 }
 
@@ -343,7 +343,7 @@
                 }
                 Step::Read { instance } => directory.read(now, &mut lists[instance]),
                 Step::Hear { from, to } => {
-                    let telling = lists[from].told_since(now, lists[to].revision());
+                    let telling = lists[from].delta_since(now, lists[to].revision());
                     lists[to].hear(now, telling.clone());
                     told.push(telling);
                 }
--- a/crates/core/tests/server_limits.rs
+++ b/crates/core/tests/server_limits.rs
@@ -4,17 +4,17 @@
 
 use std::time::Duration;
 
-use iristhread_core::LifeId;
+use iristhread_core::AdvertisedLimit;
+use iristhread_core::DeclaredLimit;
+use iristhread_core::IncarnationId;
 use iristhread_core::LimitChange;
-use iristhread_core::NamedLimit;
 use iristhread_core::Now;
 use iristhread_core::RequestRate;
 use iristhread_core::ServerLife;
 use iristhread_core::ServerLimits;
-use iristhread_core::ToldLimit;
 use test_case::test_case;
 
-const LIFE: LifeId = 7;
+const LIFE: IncarnationId = 7;
 
 const fn ms(ms: u64) -> Now {
     Duration::from_millis(ms)
@@ -28,14 +28,14 @@
 }
 
 fn per_s(rate: f64) -> RequestRate {
-    RequestRate::of_per_s(rate)
+    RequestRate::from_per_s(rate)
 }
 
 /// An answer at `at` to a request that was sent at `sent`.
 fn answer(limits: &mut ServerLimits, sent: u64, at: u64, limit: &str) -> Option<LimitChange> {
     let named = match limit {
-        "" => NamedLimit::NotTold,
-        text => NamedLimit::parse(text),
+        "" => DeclaredLimit::Absent,
+        text => DeclaredLimit::parse(text),
     };
     limits.heard(ms(at), &server(), named, ms(sent), 0.5)
 }
@@ -83,8 +83,8 @@
     assert_eq!(answer(&mut limits, 1_500, 1_600, ""), None);
 }
 
-fn told(limit: Option<f64>, age_ms: u64) -> ToldLimit {
-    ToldLimit {
+fn told(limit: Option<f64>, age_ms: u64) -> AdvertisedLimit {
+    AdvertisedLimit {
         server: server(),
         limit: limit.map(per_s),
         age_ms,
@@ -98,7 +98,7 @@
 #[test_case(None, 1_500, Some(4.0); "that there was none before")]
 fn a_peer_tells(limit: Option<f64>, age_ms: u64, expected: Option<f64>) {
     let mut limits = limited_to(4.0);
-    limits.hear_told(ms(2_000), &told(limit, age_ms), 0.5);
+    limits.apply_advertised(ms(2_000), &told(limit, age_ms), 0.5);
     assert_eq!(limits.limit_of(LIFE), expected.map(per_s));
 }
 
@@ -109,15 +109,15 @@
     for round in 0..20 {
         let now = ms(1_500 + round * 500);
         for told in first.told(now, true) {
-            second.hear_told(now + ms(400), &told, 0.5);
+            second.apply_advertised(now + ms(400), &told, 0.5);
         }
         for told in second.told(now + ms(400), true) {
-            first.hear_told(now + ms(800), &told, 0.5);
+            first.apply_advertised(now + ms(800), &told, 0.5);
         }
     }
     let withdrawn = told(None, 0);
     for limits in [&mut first, &mut second] {
-        limits.hear_told(ms(3_000), &withdrawn, 0.5);
+        limits.apply_advertised(ms(3_000), &withdrawn, 0.5);
         assert_eq!(limits.limit_of(LIFE), None);
     }
 }
@@ -128,7 +128,7 @@
     let mut own = limited_to(4.0);
     assert_eq!(own.told(ms(1_500), false), [told(Some(4.0), 500)]);
     let mut heard = ServerLimits::default();
-    heard.hear_told(ms(1_500), &told(Some(4.0), 500), 0.5);
+    heard.apply_advertised(ms(1_500), &told(Some(4.0), 500), 0.5);
     assert!(heard.told(ms(1_500), false).is_empty());
     assert_eq!(heard.told(ms(1_500), true).len(), 1);
 }
@@ -142,7 +142,7 @@
             id: format!("s{life}"),
             life,
         };
-        limits.heard(ms(1_000), &server, NamedLimit::parse("4"), ms(900), 0.5);
+        limits.heard(ms(1_000), &server, DeclaredLimit::parse("4"), ms(900), 0.5);
     }
     let mut lives = std::collections::BTreeSet::new();
     for beat in 0..13 {
@@ -161,13 +161,13 @@
 fn a_grant_is_for_one_send_to_one_life_and_for_a_second() {
     let mut limits = limited_to(4.0);
     limits.keep_grant(ms(1_000), "r1", LIFE);
-    assert!(limits.use_grant(ms(1_100), "r1", LIFE));
-    assert!(!limits.use_grant(ms(1_100), "r1", LIFE), "it is used");
+    assert!(limits.consume_grant(ms(1_100), "r1", LIFE));
+    assert!(!limits.consume_grant(ms(1_100), "r1", LIFE), "it is used");
     limits.keep_grant(ms(1_000), "r2", LIFE);
-    assert!(!limits.use_grant(ms(1_100), "r2", LIFE + 1));
+    assert!(!limits.consume_grant(ms(1_100), "r2", LIFE + 1));
     limits.keep_grant(ms(1_000), "r3", LIFE);
     assert!(
-        !limits.use_grant(ms(2_500), "r3", LIFE),
+        !limits.consume_grant(ms(2_500), "r3", LIFE),
         "its process stood still"
     );
 }
@@ -192,9 +192,9 @@
     let mut told = Vec::new();
     for number in 0..60 {
         let now = ms(2_000 + number * 50);
-        if !limits.wish(now, LIFE, others) {
-            let left = limits.turn_in(now, LIFE, others).unwrap();
-            limits.await_turn(now, LIFE, left);
+        if !limits.request_grant(now, LIFE, others) {
+            let left = limits.time_until_turn(now, LIFE, others).unwrap();
+            limits.reserve_turn(now, LIFE, left);
             told.push((now + left, left));
         }
     }
--- a/crates/core/tests/server_notice.rs
+++ b/crates/core/tests/server_notice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use iristhread_core::NamedLimit;
+use iristhread_core::DeclaredLimit;
 use iristhread_core::RequestRate;
 use iristhread_core::RetryAfter;
 use iristhread_core::ServerNotice;
@@ -61,15 +61,15 @@
 #[test_case("many", None; "a word")]
 #[test_case("4/s", None; "a unit")]
 fn a_limit(text: &str, expected: Option<f64>) {
-    let limit = NamedLimit::parse(text);
-    assert_eq!(limit.rate(), expected.map(RequestRate::of_per_s));
-    assert_eq!(limit == NamedLimit::Unreadable, expected.is_none());
+    let limit = DeclaredLimit::parse(text);
+    assert_eq!(limit.rate(), expected.map(RequestRate::from_per_s));
+    assert_eq!(limit == DeclaredLimit::Unreadable, expected.is_none());
 }
 
 #[test]
 fn a_limit_is_named_with_any_status() {
     for status in [200, 404, 500, 503] {
         let notice = ServerNotice::of(status, false, None, Some("4"));
-        assert_eq!(notice.limit.rate(), Some(RequestRate::of_per_s(4.0)));
+        assert_eq!(notice.limit.rate(), Some(RequestRate::from_per_s(4.0)));
     }
 }
--- a/crates/core/tests/suspicions.rs
+++ b/crates/core/tests/suspicions.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::Fingerprint;
-use iristhread_core::LifeId;
+use iristhread_core::IncarnationId;
 use iristhread_core::Now;
-use iristhread_core::ServerEnd;
+use iristhread_core::ServerCrash;
 use iristhread_core::Suspicions;
-use iristhread_core::ToldSuspect;
 use iristhread_core::Verdict;
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -31,19 +31,19 @@
     content(1, 1)
 }
 
-fn ended(book: &mut Suspicions, content: Fingerprint, life: LifeId, at: Now) {
-    book.server_ended(at, content, None, ServerEnd { life, at });
+fn ended(book: &mut Suspicions, content: Fingerprint, life: IncarnationId, at: Now) {
+    book.server_ended(at, content, None, ServerCrash { life, at });
 }
 
 /// A server ends every 300 ms under a content.
-fn ends(book: &mut Suspicions, content: Fingerprint, lives: std::ops::Range<LifeId>) {
+fn ends(book: &mut Suspicions, content: Fingerprint, lives: std::ops::Range<IncarnationId>) {
     for life in lives {
         ended(book, content, life, START + ms(300 * life));
     }
 }
 
 fn is_free(book: &Suspicions, content: Fingerprint) -> bool {
-    book.verdict(content) == Verdict::Free
+    book.verdict(content) == Verdict::Allowed
 }
 
 /// Tells one book what another knows.
@@ -58,7 +58,7 @@
 #[test_case(2, true; "a session may be in two with its copy")]
 #[test_case(3, false)]
 #[test_case(30, false)]
-fn so_many_ends_are_put_up_with(count: LifeId, is_sent: bool) {
+fn so_many_ends_are_put_up_with(count: IncarnationId, is_sent: bool) {
     let mut book = Suspicions::default();
     ends(&mut book, at_fault(), 0..count);
     assert_eq!(is_free(&book, at_fault()), is_sent);
@@ -97,11 +97,11 @@
 #[test_case(Some(START - ms(500)), 300, false; "ran lately, one after the other")]
 #[test_case(Some(START - ms(70_000)), 0, false; "ran long ago")]
 #[test_case(None, 0, false; "never ran")]
-fn alike_requests_on_many_servers(proven_at: Option<Now>, apart_ms: u64, is_sent: bool) {
+fn alike_requests_on_many_servers(known_good_at: Option<Now>, apart_ms: u64, is_sent: bool) {
     let mut book = Suspicions::default();
     for life in 0..6 {
         let at = START + ms(life * apart_ms);
-        book.server_ended(at, at_fault(), proven_at, ServerEnd { life, at });
+        book.server_ended(at, at_fault(), known_good_at, ServerCrash { life, at });
     }
     assert_eq!(is_free(&book, at_fault()), is_sent);
 }
@@ -204,7 +204,7 @@
     let mut until = Vec::new();
     for life in 0..20 {
         // The first three at one moment, which may have had another cause.
-        let at = START + ms(1_000 * LifeId::saturating_sub(life, 2));
+        let at = START + ms(1_000 * IncarnationId::saturating_sub(life, 2));
         ended(&mut book, at_fault(), life, at);
         if let Verdict::Quarantined { until: end, .. } = book.verdict(at_fault()) {
             until.push((end - at).as_secs());
@@ -234,7 +234,7 @@
         rotation in 0_usize..24,
         repeats in 1_usize..3,
     ) {
-        let tellers: Vec<Vec<ToldSuspect>> = seen.iter().map(|(proves, number, life)| {
+        let tellers: Vec<Vec<AdvertisedSuspect>> = seen.iter().map(|(proves, number, life)| {
             let mut book = Suspicions::default();
             let what = content(1, u128::from(*number));
             let at = START + ms(500 * *life);
@@ -250,7 +250,7 @@
             one.hear(START + ms(3_000), None, told);
         }
         for _ in 0..repeats {
-            let mut turned: Vec<&ToldSuspect> = tellers.iter().flatten().collect();
+            let mut turned: Vec<&AdvertisedSuspect> = tellers.iter().flatten().collect();
             let places = rotation % turned.len().max(1);
             turned.rotate_left(places);
             for told in turned.into_iter().rev() {
--- a/crates/daemon/src/completion/app.rs
+++ b/crates/daemon/src/completion/app.rs
@@ -6,7 +6,7 @@
 
 use iristhread_api::HttpClient;
 use iristhread_core::Event;
-use iristhread_core::HeardNotice;
+use iristhread_core::ObservedNotice;
 use iristhread_core::RequestRate;
 use slog::Logger;
 use slog::info;
@@ -63,9 +63,9 @@
     }
 
     /// Notes what an answer said of its engine or runner.
-    pub fn noticed(&self, backend: &str, heard: HeardNotice) {
+    pub fn noticed(&self, backend: &str, heard: ObservedNotice) {
         let notice = &heard.notice;
-        if notice.is_empty() && !heard.tells_limits {
+        if notice.is_empty() && !heard.reports_limits {
             return;
         }
         self.control.tell(Event::NoticeReceived {
--- a/crates/daemon/src/completion/completion_order.rs
+++ b/crates/daemon/src/completion/completion_order.rs
@@ -1,10 +1,10 @@
 //! A completion request that was checked against the configuration.
 
 use iristhread_api::CompletionRequest;
-use iristhread_core::Content;
 use iristhread_core::Cursor;
 use iristhread_core::Document;
 use iristhread_core::Fingerprint;
+use iristhread_core::FingerprintInput;
 use iristhread_core::Keyring;
 use iristhread_core::Model;
 use iristhread_core::Now;
@@ -120,7 +120,7 @@
 
     /// What it consists of, for callers that come again.
     pub fn fingerprint(&self) -> Fingerprint {
-        Fingerprint::of(&Content {
+        Fingerprint::of(&FingerprintInput {
             workspace: Some(&self.workspace),
             method: "POST",
             host: "",
--- a/crates/daemon/src/completion/control_message.rs
+++ b/crates/daemon/src/completion/control_message.rs
@@ -4,6 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::BackendId;
 use iristhread_core::BackendServer;
 use iristhread_core::ConfigVersion;
@@ -23,7 +24,6 @@
 use iristhread_core::Submission;
 use iristhread_core::Ticket;
 use iristhread_core::TimelineRecord;
-use iristhread_core::ToldSuspect;
 use iristhread_core::WorkspaceId;
 use serde::Deserialize;
 use serde::Serialize;
@@ -130,7 +130,7 @@
         reply: oneshot::Sender<Vec<(BackendId, SocketAddr)>>,
     },
     /// The instance list is wanted.
-    Roster {
+    InstanceList {
         /// Gets it.
         reply: oneshot::Sender<Vec<InstanceEntry>>,
     },
@@ -159,7 +159,7 @@
     /// Hybrid time of this moment.
     pub time: HybridTime,
     /// Contents of requests that it suspects to end backend servers.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<AdvertisedSuspect>,
 }
 
 /// What an instance knows, at one moment.
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -210,8 +210,8 @@
             ControlMessage::Watched { reply } => {
                 let _ = reply.send(self.control.watched(now));
             }
-            ControlMessage::Roster { reply } => {
-                let entries = self.control.roster().entries();
+            ControlMessage::InstanceList { reply } => {
+                let entries = self.control.instance_list().entries();
                 let _ = reply.send(entries.cloned().collect());
             }
             ControlMessage::Snapshot { reply } => {
@@ -293,7 +293,7 @@
             config_version: config.version(),
             document: config.in_force().map(|offer| offer.document.clone()),
             config_age_ms: age.map(millis),
-            roster_version: self.control.roster().version(),
+            roster_version: self.control.instance_list().version(),
             queued: self.control.queued(),
             running: self.control.running(),
             suspects: self.control.known_suspects(now),
@@ -315,15 +315,15 @@
     }
 
     fn instances(&self, now: Now) -> Vec<InstanceSnapshot> {
-        let roster = self.control.roster();
+        let instance_list = self.control.instance_list();
         let line = |entry: &iristhread_core::InstanceEntry| InstanceSnapshot {
-            silence_ms: roster.silence(now, &entry.instance).map(millis),
-            last_said: roster
+            silence_ms: instance_list.silence(now, &entry.instance).map(millis),
+            last_said: instance_list
                 .last_said(&entry.instance)
                 .map(|(incarnation, version)| (incarnation.clone(), version)),
             entry: entry.clone(),
         };
-        roster.entries().map(line).collect()
+        instance_list.entries().map(line).collect()
     }
 
     fn backends(&self, now: Now) -> Vec<BackendSnapshot> {
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -19,9 +19,9 @@
 use iristhread_core::CallRun;
 use iristhread_core::CallStep;
 use iristhread_core::Event;
-use iristhread_core::HeardNotice;
 use iristhread_core::InstanceId;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Outcome;
 use iristhread_core::SendResult;
 use iristhread_core::SpendVerdict;
@@ -266,10 +266,10 @@
     let notice = reply
         .as_ref()
         .map(|reply| notice_of(reply.status, &reply.headers));
-    let heard = HeardNotice {
+    let heard = ObservedNotice {
         notice: notice.unwrap_or_default(),
         sent_at,
-        tells_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
+        reports_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
     };
     app.noticed(&backend, heard);
     app.control.tell(match reply {
@@ -345,7 +345,7 @@
             instance: instance.clone(),
         },
     );
-    let ask = |reply| ControlMessage::Roster { reply };
+    let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await.unwrap_or_default();
     let mut entries = entries.into_iter();
     let Some(entry) = entries.find(|entry| entry.instance == instance) else {
--- a/crates/daemon/src/directory/config_reader.rs
+++ b/crates/daemon/src/directory/config_reader.rs
@@ -4,14 +4,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use iristhread_core::EvacuationNews;
+use iristhread_core::AdvertisedEvacuations;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::GatewayConfig;
 use iristhread_core::Now;
 use iristhread_core::Revision;
-use iristhread_core::ToldEvacuations;
 use iristhread_core::WatchCycle;
-use iristhread_core::reading_waits::FIRST_PAUSE;
-use iristhread_core::reading_waits::LOOK_AGAIN;
+use iristhread_core::read_timing::FIRST_PAUSE;
+use iristhread_core::read_timing::LOOK_AGAIN;
 use slog::Logger;
 use slog::info;
 
@@ -119,7 +119,7 @@
             revision: read.revision,
             quiet_for: None,
             configs: read.value.config.into_iter().collect(),
-            evacuations: EvacuationNews::Whole(ToldEvacuations {
+            evacuations: EvacuationUpdate::Whole(AdvertisedEvacuations {
                 revision: read.revision,
                 zones: read.value.evacuated,
             }),
@@ -142,7 +142,7 @@
             revision: read.revision,
             quiet_for: is_quiet.then_some(wait),
             configs: read.value.configs,
-            evacuations: EvacuationNews::Changed {
+            evacuations: EvacuationUpdate::Changed {
                 after,
                 revision: read.revision,
                 changes: read.value.evacuations,
@@ -173,5 +173,5 @@
     /// The wait of a watch that brought nothing.
     quiet_for: Option<Duration>,
     configs: Vec<GatewayConfig>,
-    evacuations: EvacuationNews,
+    evacuations: EvacuationUpdate,
 }
--- a/crates/daemon/src/directory/directory_trouble.rs
+++ b/crates/daemon/src/directory/directory_trouble.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use iristhread_core::Revision;
-use iristhread_core::reading_waits::FIRST_PAUSE;
-use iristhread_core::reading_waits::LONGEST_PAUSE;
-use iristhread_core::reading_waits::PAUSE_FACTORS;
+use iristhread_core::read_timing::FIRST_PAUSE;
+use iristhread_core::read_timing::LONGEST_PAUSE;
+use iristhread_core::read_timing::RETRY_JITTER;
 use rand::RngExt;
 use slog::Logger;
 use slog::info;
@@ -47,7 +47,7 @@
         info!(log, "call to the directory failed"; "of" => self.what,
             "cause" => error.to_string(), "waited_ms" => waited.as_millis() as u64);
         self.is_lost = true;
-        let factor = rand::rng().random_range(PAUSE_FACTORS);
+        let factor = rand::rng().random_range(RETRY_JITTER);
         tokio::time::sleep(self.pause.mul_f64(factor)).await;
         self.pause = (self.pause * 2).min(LONGEST_PAUSE);
     }
--- a/crates/daemon/src/directory/list_reader.rs
+++ b/crates/daemon/src/directory/list_reader.rs
@@ -7,8 +7,8 @@
 use iristhread_core::Now;
 use iristhread_core::Revision;
 use iristhread_core::WatchCycle;
-use iristhread_core::reading_waits::FIRST_PAUSE;
-use iristhread_core::reading_waits::LOOK_AGAIN;
+use iristhread_core::read_timing::FIRST_PAUSE;
+use iristhread_core::read_timing::LOOK_AGAIN;
 use slog::Logger;
 use slog::info;
 
--- a/crates/daemon/src/engines/notices.rs
+++ b/crates/daemon/src/engines/notices.rs
@@ -4,12 +4,12 @@
 use std::sync::Arc;
 
 use futures::future::BoxFuture;
-use iristhread_core::HeardNotice;
-use iristhread_core::NamedLimit;
+use iristhread_core::DeclaredLimit;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Replica;
 use iristhread_core::RequestRate;
-use iristhread_core::SendStops;
+use iristhread_core::SendRestrictions;
 use iristhread_core::ServerNotice;
 use slog::Logger;
 use slog::info;
@@ -75,7 +75,7 @@
     /// Decisions.
     pub control: GatewayHandle,
     /// What the decisions made of them.
-    pub stops: watch::Receiver<Arc<SendStops>>,
+    pub stops: watch::Receiver<Arc<SendRestrictions>>,
     /// Clocks.
     pub clock: Clock,
     /// Figures for operators.
@@ -87,11 +87,11 @@
 impl Notices {
     /// Notes what an answer said of its backend server. `asked` names the request, order or
     /// question that was answered.
-    pub fn heard(&self, replica: &Replica, heard: HeardNotice, asked: &str) {
+    pub fn heard(&self, replica: &Replica, heard: ObservedNotice, asked: &str) {
         let notice = &heard.notice;
         let life = replica.life();
-        if heard.tells_limits
-            && notice.limit == NamedLimit::NotTold
+        if heard.reports_limits
+            && notice.limit == DeclaredLimit::Absent
             && self.stops.borrow().limited.contains(&life)
         {
             self.tell(replica, heard);
@@ -114,7 +114,7 @@
         }
     }
 
-    fn tell(&self, replica: &Replica, heard: HeardNotice) {
+    fn tell(&self, replica: &Replica, heard: ObservedNotice) {
         self.control.tell(GatewayMessage::NoticeReceived {
             replica: replica.server_life(),
             heard,
@@ -144,7 +144,7 @@
             return None;
         }
         let life = replica.life();
-        if let Some(until) = stops.rests_until(self.clock.now(), life) {
+        if let Some(until) = stops.backoff_until(self.clock.now(), life) {
             return Some(SendStop::Resting(until));
         }
         // A session that can go on nowhere else is not lost for a server's leaving.
--- a/crates/daemon/src/engines/suspicion_log.rs
+++ b/crates/daemon/src/engines/suspicion_log.rs
@@ -1,19 +1,19 @@
 //! Log lines of the suspicions that requests end the backend servers that run them.
 
 use iristhread_core::Now;
-use iristhread_core::SuspicionNews;
+use iristhread_core::SuspicionUpdate;
 use slog::Logger;
 use slog::info;
 use slog::warn;
 
 /// Writes the line of one belief that has changed.
-pub fn log_suspicion(log: &Logger, now: Now, news: &SuspicionNews) {
+pub fn log_suspicion(log: &Logger, now: Now, news: &SuspicionUpdate) {
     match news {
-        SuspicionNews::Ended { fingerprint, ends } => {
+        SuspicionUpdate::Ended { fingerprint, ends } => {
             info!(log, "backend server ended under a request";
                 "content" => fingerprint.to_string(), "ends" => ends);
         }
-        SuspicionNews::Quarantined {
+        SuspicionUpdate::Quarantined {
             fingerprint,
             ends,
             until,
@@ -23,7 +23,7 @@
                 "content" => fingerprint.to_string(), "ends" => ends,
                 "quarantine_ms" => left.as_millis() as u64);
         }
-        SuspicionNews::Cleared { fingerprint } => {
+        SuspicionUpdate::Cleared { fingerprint } => {
             info!(log, "request like one that was suspected ran well";
                 "content" => fingerprint.to_string());
         }
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -3,17 +3,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
+use iristhread_core::AdvertisedLimit;
+use iristhread_core::AdvertisedList;
+use iristhread_core::AdvertisedLoads;
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::BackendId;
-use iristhread_core::CarryTarget;
 use iristhread_core::ConfigVersion;
 use iristhread_core::EngineChecks;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
+use iristhread_core::FailoverTarget;
 use iristhread_core::GatewayConfig;
-use iristhread_core::GatewayTerms;
-use iristhread_core::HeardNotice;
+use iristhread_core::GatewayParameters;
 use iristhread_core::KnownVersions;
 use iristhread_core::LoadShares;
-use iristhread_core::PlacementAsk;
+use iristhread_core::ObservedNotice;
+use iristhread_core::PlacementRequest;
 use iristhread_core::Ranking;
 use iristhread_core::Refusal;
 use iristhread_core::Replica;
@@ -22,11 +27,6 @@
 use iristhread_core::RunEnd;
 use iristhread_core::ServerLife;
 use iristhread_core::SessionSignal;
-use iristhread_core::ToldEvacuations;
-use iristhread_core::ToldLimit;
-use iristhread_core::ToldList;
-use iristhread_core::ToldLoads;
-use iristhread_core::ToldSuspect;
 use iristhread_core::ZoneDigest;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -48,14 +48,14 @@
     /// Replicas that told it lately that they leave.
     pub said_leaving: Vec<ServerLife>,
     /// Limits that replicas named; none where the state is not for a heartbeat.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<AdvertisedLimit>,
     /// Replicas that took no connection of it lately.
     pub unreachable: Vec<ServerLife>,
     /// The evacuated zones.
-    pub evacuations: ToldEvacuations,
+    pub evacuations: AdvertisedEvacuations,
     /// Contents that are suspected to end backend servers; none where the state is not
     /// for a heartbeat.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<AdvertisedSuspect>,
 }
 
 impl OwnState {
@@ -86,7 +86,7 @@
     /// The configuration in force.
     pub config: Option<Arc<GatewayConfig>>,
     /// The list of replicas, or its changes since the peer read it.
-    pub list: ToldList,
+    pub list: AdvertisedList,
 }
 
 /// What became of a request that wants a backend server.
@@ -113,7 +113,7 @@
     /// A request wants a backend server.
     Place {
         /// What it asks for.
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         /// Where the session is told of later decisions.
         signals: mpsc::UnboundedSender<SessionSignal>,
         /// The answer.
@@ -152,7 +152,7 @@
     /// A peer tells which contents it suspects to end backend servers.
     SuspectsReceived {
         /// The contents.
-        suspects: Vec<ToldSuspect>,
+        suspects: Vec<AdvertisedSuspect>,
     },
     /// A session has come this far.
     Progress {
@@ -166,7 +166,7 @@
         /// The session.
         request: RequestId,
         /// The answer.
-        reply: oneshot::Sender<Option<CarryTarget>>,
+        reply: oneshot::Sender<Option<FailoverTarget>>,
     },
     /// The engine of a stream that may be run again broke off, and there is no copy:
     /// where is it run from its last event on?
@@ -174,7 +174,7 @@
         /// The session.
         request: RequestId,
         /// The answer; `None` when nothing takes it or the retry budget is spent.
-        reply: oneshot::Sender<Option<CarryTarget>>,
+        reply: oneshot::Sender<Option<FailoverTarget>>,
     },
     /// A session could not go on at its copy, and does not run there.
     NotCarried {
@@ -190,7 +190,7 @@
         /// Where it runs now.
         replica: Replica,
         /// The answer.
-        reply: oneshot::Sender<Option<CarryTarget>>,
+        reply: oneshot::Sender<Option<FailoverTarget>>,
     },
     /// A session could not be moved to an engine: where else?
     MoveFailed {
@@ -221,7 +221,7 @@
         /// The replica.
         replica: ServerLife,
         /// What it said.
-        heard: HeardNotice,
+        heard: ObservedNotice,
     },
     /// May something be sent to a replica that named a limit?
     MaySend {
@@ -235,7 +235,7 @@
     /// A peer tells of limits that replicas named.
     LimitsHeard {
         /// The limits.
-        limits: Vec<ToldLimit>,
+        limits: Vec<AdvertisedLimit>,
         /// The peer.
         source: String,
     },
@@ -247,7 +247,7 @@
     /// When should a caller come back whose request no replica took?
     ReturnAfter {
         /// What it asked for.
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         /// When one of them takes requests now.
         otherwise: Duration,
         /// The answer.
@@ -290,7 +290,7 @@
     /// Evacuations of zones were read or heard.
     Evacuations {
         /// What is known of them.
-        news: EvacuationNews,
+        news: EvacuationUpdate,
         /// Who had it.
         source: String,
     },
@@ -306,7 +306,7 @@
     /// The list of another instance was fetched.
     PeerList {
         /// The list.
-        list: ToldList,
+        list: AdvertisedList,
         /// Who had it.
         source: String,
     },
@@ -320,7 +320,7 @@
     /// The settings have changed.
     Terms {
         /// What the decisions need of them.
-        terms: Box<GatewayTerms>,
+        terms: Box<GatewayParameters>,
     },
     /// Whether nobody has confirmed the list of replicas for long.
     ListLost {
@@ -332,7 +332,7 @@
     /// A peer told of the load of the replicas.
     PeerMessageReceived {
         /// What it told.
-        told: ToldLoads,
+        told: AdvertisedLoads,
     },
     /// What to tell the peers.
     OwnState {
--- a/crates/daemon/src/gateway/gateway_settings.rs
+++ b/crates/daemon/src/gateway/gateway_settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::InstanceId;
 use iristhread_core::Keyring;
 use iristhread_core::RegionId;
@@ -107,13 +107,13 @@
     }
 
     /// The part that the decisions need.
-    pub fn terms(&self, seed: u64) -> GatewayTerms {
-        GatewayTerms {
+    pub fn terms(&self, seed: u64) -> GatewayParameters {
+        GatewayParameters {
             instance: self.instance.clone(),
             zone: self.zone.clone(),
             retry_ratio: self.retry_ratio * RETRY_MARGIN,
             retry_extra: self.retry_extra * RETRY_MARGIN,
-            least_sharers: LEAST_SHARERS,
+            min_sharers: LEAST_SHARERS,
             memory_limit: self.memory_limit,
             copy_limit: self.copy_limit,
             least_copied_tokens: self.least_copied_tokens,
--- a/crates/daemon/src/gateway/gateway_thread.rs
+++ b/crates/daemon/src/gateway/gateway_thread.rs
@@ -4,18 +4,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use iristhread_core::CarryTarget;
 use iristhread_core::Evacuation;
+use iristhread_core::FailoverTarget;
 use iristhread_core::GatewayControl;
-use iristhread_core::GatewayTerms;
+use iristhread_core::GatewayParameters;
 use iristhread_core::Now;
-use iristhread_core::PlacementAsk;
+use iristhread_core::PlacementRequest;
 use iristhread_core::Ranking;
 use iristhread_core::RequestClass;
 use iristhread_core::RequestId;
 use iristhread_core::RouteTable;
 use iristhread_core::RunEnd;
-use iristhread_core::SendStops;
+use iristhread_core::SendRestrictions;
 use iristhread_core::SessionSignal;
 use iristhread_core::ZoneEvacuations;
 use slog::Logger;
@@ -74,7 +74,7 @@
 ///
 /// When the system gives no thread or runtime.
 pub fn start(
-    terms: GatewayTerms,
+    terms: GatewayParameters,
     clock: Clock,
     log: Logger,
     metrics: Arc<GatewayMetrics>,
@@ -97,7 +97,7 @@
         list_known,
         evacuations,
         stops,
-        stops_version: 0,
+        restrictions_version: 0,
         limits_counted_at: clock.now(),
         metrics,
         news,
@@ -123,9 +123,9 @@
     table: watch::Sender<Option<Arc<RouteTable>>>,
     list_known: watch::Sender<bool>,
     evacuations: watch::Sender<ZoneEvacuations>,
-    stops: watch::Sender<Arc<SendStops>>,
+    stops: watch::Sender<Arc<SendRestrictions>>,
     /// What was told of them last.
-    stops_version: u64,
+    restrictions_version: u64,
     /// When the limits in force were counted last.
     limits_counted_at: Now,
     metrics: Arc<GatewayMetrics>,
@@ -175,13 +175,13 @@
                 let _ = reply.send(self.send_again(&request, &service, spends_budget));
             }
             GatewayMessage::BrokeOff { request, replica } => {
-                self.control.broke_off(now, &request, &replica);
+                self.control.note_broken_run(now, &request, &replica);
             }
             GatewayMessage::ServerCrashed { replica } => {
                 self.control.server_ended(now, &replica);
             }
             GatewayMessage::SuspectsReceived { suspects } => {
-                self.control.hear_suspects(now, &suspects);
+                self.control.apply_peer_suspects(now, &suspects);
             }
             GatewayMessage::Progress { request, generated } => {
                 if self.control.progress(now, &request, generated) {
@@ -190,17 +190,17 @@
                 }
             }
             GatewayMessage::Carry { request, reply } => {
-                let _ = reply.send(self.control.carry(now, &request));
+                let _ = reply.send(self.control.fail_over(now, &request));
             }
             GatewayMessage::PlaceAgain { request, reply } => {
-                let _ = reply.send(self.place_again(&request));
+                let _ = reply.send(self.restart_stream(&request));
             }
             GatewayMessage::CarryTo {
                 request,
                 replica,
                 reply,
             } => {
-                let _ = reply.send(self.control.carry_to(now, &request, replica));
+                let _ = reply.send(self.control.fail_over_to(now, &request, replica));
             }
             GatewayMessage::MoveFailed { request, tried } => {
                 let evacuation = self.control.evacuate(now, &request, &tried);
@@ -228,23 +228,23 @@
                 otherwise,
                 reply,
             } => {
-                let _ = reply.send(self.control.return_after(now, &ask, otherwise));
+                let _ = reply.send(self.control.caller_retry_after(now, &ask, otherwise));
             }
             GatewayMessage::Unreachable { replica } => self.unreachable(&replica),
             GatewayMessage::NotConnected { replica } => {
                 if self.is_current(&replica) {
-                    self.takes_no_connection(&replica.id);
+                    self.refused_connection(&replica.id);
                     self.control.failed(now, &replica.id);
                 }
             }
             GatewayMessage::HeardUnreachable { replica } => {
                 if self.is_current(&replica) {
-                    self.control.hear_unreachable(now, &replica.id);
+                    self.control.apply_peer_unreachable(now, &replica.id);
                 }
             }
             GatewayMessage::Failed { replica } => self.failed(&replica),
             GatewayMessage::NotCarried { request, replica } => {
-                self.control.not_carried(&request, replica);
+                self.control.failover_failed(&request, replica);
             }
             GatewayMessage::Ended { request, end } => self.ended(&request, end),
             GatewayMessage::Config { config, source } => self.config(config, &source),
@@ -271,7 +271,7 @@
                     "count" => list.replicas.len(), "removed" => list.removed.len(),
                     "unusable" => list.unusable.len(),
                     "outage_ended_ms" => list.outage_ended_ms, "source" => &source);
-                let evacuations = self.control.hear_list(now, list);
+                let evacuations = self.control.apply_peer_list(now, list);
                 self.tell_era(before, &source);
                 self.list_taken(evacuations);
             }
@@ -280,9 +280,9 @@
                 self.tell_stops();
             }
             GatewayMessage::Terms { terms } => self.control.set_terms(*terms),
-            GatewayMessage::ListLost { is_lost } => self.list_lost(is_lost),
+            GatewayMessage::ListLost { is_lost } => self.set_list_stale(is_lost),
             GatewayMessage::OutageEnded => self.control.outage_ended(now),
-            GatewayMessage::PeerMessageReceived { told } => self.control.hear_peer(now, told),
+            GatewayMessage::PeerMessageReceived { told } => self.control.apply_peer_load(now, told),
             GatewayMessage::OwnState { audience, reply } => {
                 let _ = reply.send(self.own_state(audience));
             }
@@ -293,7 +293,7 @@
     }
 
     fn send_again(&mut self, request: &str, service: &str, spends_budget: bool) -> SendAgain {
-        if !self.control.may_go_on(request) {
+        if !self.control.may_resend(request) {
             return SendAgain::Quarantined;
         }
         match !spends_budget || self.control.spend_retry(service) {
@@ -323,7 +323,7 @@
 
     fn place(
         &mut self,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
         signals: mpsc::UnboundedSender<SessionSignal>,
     ) -> Placed {
         let request = ask.request.clone();
@@ -364,8 +364,8 @@
         }
     }
 
-    fn place_again(&mut self, request: &str) -> Option<CarryTarget> {
-        let target = self.control.place_again(self.clock.now(), request);
+    fn restart_stream(&mut self, request: &str) -> Option<FailoverTarget> {
+        let target = self.control.restart_stream(self.clock.now(), request);
         let engine = target.as_ref().map(|target| target.replica.id.clone());
         info!(self.log, "stream without a copy is to be run again";
             "request" => request, "backend_server" => engine,
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -7,14 +7,14 @@
 use iristhread_core::ConfigVerdict;
 use iristhread_core::Evacuation;
 use iristhread_core::EvacuationChange;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::Fingerprint;
 use iristhread_core::GatewayConfig;
-use iristhread_core::HeardNotice;
+use iristhread_core::ObservedNotice;
 use iristhread_core::Revision;
 use iristhread_core::ServerLife;
 use iristhread_core::SessionSignal;
-use iristhread_core::SuspicionNews;
+use iristhread_core::SuspicionUpdate;
 use slog::debug;
 use slog::info;
 use slog::warn;
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn evacuations(&mut self, news: EvacuationNews, source: &str) {
+    pub(super) fn evacuations(&mut self, news: EvacuationUpdate, source: &str) {
         let now = self.clock.now();
         let Some(changes) = self.control.offer_evacuations(now, news) else {
             return;
@@ -101,7 +101,7 @@
     }
 
     /// What an answer said binds this instance from now on.
-    pub(super) fn noticed(&mut self, server: &ServerLife, heard: &HeardNotice) {
+    pub(super) fn noticed(&mut self, server: &ServerLife, heard: &ObservedNotice) {
         let now = self.clock.now();
         let notice = &heard.notice;
         let change = self.control.limit_noticed(now, server, heard);
@@ -119,12 +119,12 @@
 
     /// What is sent checks this before each send.
     pub(super) fn tell_stops(&mut self) {
-        let version = self.control.stops_version();
-        if version == self.stops_version {
+        let version = self.control.restrictions_version();
+        if version == self.restrictions_version {
             return;
         }
-        self.stops_version = version;
-        let stops = self.control.send_stops(self.clock.now());
+        self.restrictions_version = version;
+        let stops = self.control.send_restrictions(self.clock.now());
         self.stops.send_replace(Arc::new(stops));
     }
 
@@ -165,7 +165,7 @@
         info!(self.log, "backend server can't be reached";
             "backend_server" => &server.id,
             "list_revision" => %self.control.list().revision());
-        self.takes_no_connection(&server.id);
+        self.refused_connection(&server.id);
         self.control.unreachable(self.clock.now(), &server.id);
     }
 
@@ -183,22 +183,22 @@
             info!(self.log, "engine of a request has started anew"; "request" => &request);
             if let Some(signals) = self.signals.get(&request) {
                 // It may have ended in the meantime.
-                let _ = signals.send(SessionSignal::EngineBegunAnew);
+                let _ = signals.send(SessionSignal::EngineRestarted);
             }
         }
     }
 
-    pub(super) fn takes_no_connection(&mut self, replica: &str) {
+    pub(super) fn refused_connection(&mut self, replica: &str) {
         let now = self.clock.now();
-        if self.control.takes_no_connection(now, replica) {
+        if self.control.refused_connection(now, replica) {
             info!(self.log, "others are told that a backend server can't be reached";
                 "backend_server" => replica);
             self.news.notify_one();
         }
     }
 
-    pub(super) fn list_lost(&mut self, is_lost: bool) {
-        if self.control.list_lost(is_lost) {
+    pub(super) fn set_list_stale(&mut self, is_lost: bool) {
+        if self.control.set_list_stale(is_lost) {
             let message = match is_lost {
                 true => "list of backend servers is no longer confirmed",
                 false => "list of backend servers is confirmed again",
@@ -220,7 +220,7 @@
         warn!(self.log, "directory came back from an older copy";
             "from" => %before, "to" => %revision, "source" => source,
             "lacking" => format!("{:?}", list.lapsed()),
-            "back" => format!("{:?}", list.unproven(now)));
+            "back" => format!("{:?}", list.unconfirmed(now)));
     }
 
     pub(super) fn list_taken(&mut self, evacuations: Vec<Evacuation>) {
@@ -261,11 +261,11 @@
             self.news.notify_one();
         }
         for news in news {
-            if matches!(news, SuspicionNews::Ended { .. }) {
+            if matches!(news, SuspicionUpdate::Ended { .. }) {
                 self.metrics.server_ended();
             }
             log_suspicion(&self.log, self.clock.now(), &news);
-            if let SuspicionNews::Quarantined { fingerprint, .. } = news {
+            if let SuspicionUpdate::Quarantined { fingerprint, .. } = news {
                 self.withdraw(fingerprint);
             }
         }
@@ -273,7 +273,7 @@
 
     /// What waits at engines would end them as well.
     fn withdraw(&self, fingerprint: Fingerprint) {
-        for request in self.control.waiting_with(fingerprint) {
+        for request in self.control.unstarted_with(fingerprint) {
             if let Some(signals) = self.signals.get(&request) {
                 // It may have ended in the meantime, and calls take no signals.
                 let _ = signals.send(SessionSignal::Withdraw);
--- a/crates/daemon/src/gateway/gateway_thread/limits.rs
+++ b/crates/daemon/src/gateway/gateway_thread/limits.rs
@@ -1,9 +1,9 @@
 //! What the control thread does with the limits that backend servers name.
 
+use iristhread_core::AdvertisedLimit;
 use iristhread_core::LimitChange;
 use iristhread_core::Ranking;
 use iristhread_core::ServerLife;
-use iristhread_core::ToldLimit;
 use slog::info;
 
 use super::GatewayThread;
@@ -15,9 +15,9 @@
 const WITHHELD: &str = "withheld";
 
 impl GatewayThread {
-    pub(super) fn limits_heard(&mut self, limits: Vec<ToldLimit>, source: &str) {
+    pub(super) fn limits_heard(&mut self, limits: Vec<AdvertisedLimit>, source: &str) {
         let now = self.clock.now();
-        for (server, change) in self.control.hear_limits(now, limits) {
+        for (server, change) in self.control.apply_peer_limits(now, limits) {
             self.limit_changed(&server, Some(change), Some(source));
         }
         self.tell_stops();
@@ -67,7 +67,7 @@
 
     /// The shares of the others go by what this instance wants.
     pub(super) fn tell_wants(&self) {
-        if self.control.wants_are_news(self.clock.now()) {
+        if self.control.is_demand_update(self.clock.now()) {
             self.news.notify_one();
         }
     }
--- a/crates/daemon/src/gateway/gateway_thread/telling.rs
+++ b/crates/daemon/src/gateway/gateway_thread/telling.rs
@@ -15,9 +15,9 @@
         let (suspects, limits, shares) = match audience {
             Audience::Own => (Vec::new(), Vec::new(), control.shares()),
             Audience::Peers { .. } => (
-                control.told_suspects(now),
-                control.told_limits(now, is_relay),
-                control.told_shares(now),
+                control.advertised_suspects(now),
+                control.advertised_limits(now, is_relay),
+                control.advertised_shares(now),
             ),
         };
         let control = &self.control;
@@ -28,8 +28,8 @@
             list_revision: self.control.list().revision(),
             digest: is_relay.then(|| control.digest(&shares)),
             shares,
-            said_leaving: control.lives_of(control.said_leaving(now, is_relay)),
-            unreachable: control.lives_of(control.found_unreachable(now)),
+            said_leaving: control.incarnations_of(control.said_leaving(now, is_relay)),
+            unreachable: control.incarnations_of(control.found_unreachable(now)),
             evacuations: self.control.evacuations().told(),
         }
     }
@@ -38,7 +38,10 @@
         let table = self.control.table();
         KnownState {
             config: table.map(|table| table.config().clone()),
-            list: self.control.list().told_since(self.clock.now(), list_above),
+            list: self
+                .control
+                .list()
+                .delta_since(self.clock.now(), list_above),
         }
     }
 }
--- a/crates/daemon/src/gateway/gateway_views.rs
+++ b/crates/daemon/src/gateway/gateway_views.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use iristhread_core::RouteTable;
-use iristhread_core::SendStops;
+use iristhread_core::SendRestrictions;
 use iristhread_core::ZoneEvacuations;
 use tokio::sync::watch;
 
@@ -20,5 +20,5 @@
     /// The evacuated zones.
     pub evacuations: watch::Receiver<ZoneEvacuations>,
     /// Backend servers that leave or rest.
-    pub stops: watch::Receiver<Arc<SendStops>>,
+    pub stops: watch::Receiver<Arc<SendRestrictions>>,
 }
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -73,7 +73,7 @@
 }
 
 async fn ask_all(app: &App, question: PeerRequest) -> Vec<(String, Option<PeerReply>)> {
-    let ask = |reply| ControlMessage::Roster { reply };
+    let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await.unwrap_or_default().into_iter();
     let others = entries.filter(|entry| entry.instance != app.identity.instance);
     let asked = others.map(|entry| ask_one(app, entry, question.clone()));
--- a/crates/daemon/src/peers/fleet_link.rs
+++ b/crates/daemon/src/peers/fleet_link.rs
@@ -177,16 +177,16 @@
         loop {
             let now = self.clock.now();
             let fan_out = self.members().fan_out(now, &mut rand::rng());
-            let Some(own) = self.control.told_state(fan_out.passes_on).await else {
+            let Some(own) = self.control.told_state(fan_out.forwards_to_zone).await else {
                 return;
             };
             *self.versions() = (own.config_version, own.list_revision);
             sequence += 2;
             let summed = own.digest.as_ref().map(|digest| digest.shares.len());
             self.send(&socket, own, sequence, fan_out).await;
-            let mut interval = self.members().beat_interval(self.clock.now());
+            let mut interval = self.members().heartbeat_interval(self.clock.now());
             if let Some(sums) = summed {
-                interval = interval.min(FleetMembers::relay_interval(sums));
+                interval = interval.min(FleetMembers::relay_heartbeat_interval(sums));
             }
             tokio::select! {
                 () = tokio::time::sleep(interval) => {}
@@ -228,7 +228,7 @@
             self.send_one(socket, sealed.clone(), false, &fan_out.direct)
                 .await;
         }
-        if let Some(sealed) = sealed.filter(|_| fan_out.passes_on) {
+        if let Some(sealed) = sealed.filter(|_| fan_out.forwards_to_zone) {
             self.relay.push(sealed);
         }
     }
@@ -288,7 +288,7 @@
             list_revision: own.list_revision,
             list_age_ms: list_confirmed_at.map(age_ms),
             can_read: knowledge.can_read(),
-            addresses: members.told_addresses(now, &mut rand::rng()),
+            addresses: members.advertised_addresses(now, &mut rand::rng()),
             shares: own.shares,
             digest: own.digest,
             said_leaving: own.said_leaving,
--- a/crates/daemon/src/peers/fleet_link/duty.rs
+++ b/crates/daemon/src/peers/fleet_link/duty.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use iristhread_core::ConfigVersion;
-use iristhread_core::LagNews;
+use iristhread_core::LagUpdate;
 use iristhread_core::Now;
-use iristhread_core::ReadingWaits;
+use iristhread_core::ReadTiming;
 use iristhread_core::Revision;
 use slog::info;
 
@@ -111,16 +111,16 @@
         now: Now,
         is_behind: bool,
         version: ConfigVersion,
-        waits: &ReadingWaits,
+        waits: &ReadTiming,
     ) -> bool {
         let lag = self.config_lag.lock();
         let mut lag = lag.unwrap_or_else(PoisonError::into_inner);
         match lag.note(now, is_behind) {
-            Some(LagNews::Began) => info!(self.log, "a peer has a newer configuration";
+            Some(LagUpdate::Began) => info!(self.log, "a peer has a newer configuration";
                 "version" => version),
-            Some(LagNews::Ended(time)) => self.metrics.config_was_behind(time),
+            Some(LagUpdate::Ended(time)) => self.metrics.config_was_behind(time),
             None => {}
         }
-        lag.is_too_long(now, waits)
+        lag.is_overdue(now, waits)
     }
 }
--- a/crates/daemon/src/peers/fleet_link/fetching.rs
+++ b/crates/daemon/src/peers/fleet_link/fetching.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use iristhread_core::ConfigVersion;
-use iristhread_core::reading_waits::BEFORE_FETCH;
-use iristhread_core::reading_waits::FETCH_TIMEOUT;
+use iristhread_core::read_timing::FETCH_TIMEOUT;
+use iristhread_core::read_timing::MAX_FETCH_DELAY;
 use slog::info;
 use slog::warn;
 use tokio::sync::mpsc;
@@ -51,9 +51,9 @@
         } else if own.config_version == 0 {
             OWN_READ
         } else if members.is_ahead_in_config(now, own.config_version) {
-            BEFORE_FETCH.mul_f64(rand::random())
+            MAX_FETCH_DELAY.mul_f64(rand::random())
         } else {
-            BEFORE_FETCH
+            MAX_FETCH_DELAY
         }
     }
 
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -6,12 +6,12 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
+use iristhread_core::AdvertisedLoads;
 use iristhread_core::Arrival;
-use iristhread_core::EvacuationNews;
+use iristhread_core::EvacuationUpdate;
 use iristhread_core::FleetMembers;
 use iristhread_core::MemberState;
-use iristhread_core::ToldEvacuations;
-use iristhread_core::ToldLoads;
 use slog::info;
 use slog::warn;
 use tokio::net::UdpSocket;
@@ -98,7 +98,7 @@
             instance: heartbeat.instance.clone(),
             incarnation: heartbeat.incarnation.clone(),
             sequence: heartbeat.sequence,
-            said_at: Duration::from_millis(heartbeat.said_at_ms),
+            sent_at: Duration::from_millis(heartbeat.said_at_ms),
             zone: heartbeat.zone.clone(),
             core_millis: heartbeat.core_millis,
             has_relays: heartbeat.has_relays,
@@ -114,19 +114,19 @@
             return false;
         }
         for address in &heartbeat.addresses {
-            members.hear_of(now, *address);
+            members.learn_address(now, *address);
         }
         let is_direct = from == heartbeat.address;
-        if arrival == Arrival::FirstOfLife && is_direct {
-            members.greet(heartbeat.address);
+        if arrival == Arrival::FirstOfIncarnation && is_direct {
+            members.queue_immediate_heartbeat(heartbeat.address);
             self.beat_now.notify_one();
         }
         let follows = members.follows(&heartbeat.zone);
         let is_relay = !heartbeat.news.is_empty() && members.relays(now);
-        let delay = members.delay_of(heartbeat.address);
+        let delay = members.heartbeat_delay(heartbeat.address);
         drop(members);
         // Contacts with instances that are usually not heard would be hundreds of lines.
-        if arrival == Arrival::FirstOfLife && follows {
+        if arrival == Arrival::FirstOfIncarnation && follows {
             info!(self.log, "peer heard for the first time";
                 "peer" => &heartbeat.instance, "incarnation" => &heartbeat.incarnation,
                 "directly" => is_direct, "config_version" => heartbeat.config_version);
@@ -160,7 +160,7 @@
         }
         if follows || heartbeat.digest.is_some() {
             self.control.tell(GatewayMessage::PeerMessageReceived {
-                told: ToldLoads {
+                told: AdvertisedLoads {
                     instance: heartbeat.instance,
                     incarnation: heartbeat.incarnation,
                     sequence: heartbeat.sequence,
@@ -174,7 +174,7 @@
     }
 
     /// Most heartbeats bring nothing new; the decisions are not bothered with those.
-    fn take_evacuations(&self, told: ToldEvacuations, source: &str) {
+    fn take_evacuations(&self, told: AdvertisedEvacuations, source: &str) {
         let is_news = {
             let heard = self.evacuations_heard.lock();
             let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
@@ -184,7 +184,7 @@
         };
         if is_news {
             self.control.tell(GatewayMessage::Evacuations {
-                news: EvacuationNews::Whole(told),
+                news: EvacuationUpdate::Whole(told),
                 source: source.to_owned(),
             });
         }
--- a/crates/daemon/src/peers/heartbeat.rs
+++ b/crates/daemon/src/peers/heartbeat.rs
@@ -4,6 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use iristhread_core::AdvertisedEvacuations;
+use iristhread_core::AdvertisedLimit;
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::ConfigVersion;
 use iristhread_core::Incarnation;
 use iristhread_core::InstanceId;
@@ -12,9 +15,6 @@
 use iristhread_core::ReplicaChange;
 use iristhread_core::Revision;
 use iristhread_core::ServerLife;
-use iristhread_core::ToldEvacuations;
-use iristhread_core::ToldLimit;
-use iristhread_core::ToldSuspect;
 use iristhread_core::ZoneDigest;
 use iristhread_core::ZoneId;
 use serde::Deserialize;
@@ -97,13 +97,13 @@
     /// Backend servers that told it lately that they leave.
     pub said_leaving: Vec<ServerLife>,
     /// Limits that backend servers named.
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<AdvertisedLimit>,
     /// Backend servers that took no connection of it lately.
     pub unreachable: Vec<ServerLife>,
     /// The zones that are evacuated.
-    pub evacuations: ToldEvacuations,
+    pub evacuations: AdvertisedEvacuations,
     /// Contents of requests that it suspects to end backend servers.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<AdvertisedSuspect>,
     /// The latest changes of the list.
     pub news: Vec<ListNews>,
 }
--- a/crates/daemon/src/peers/peer_answers.rs
+++ b/crates/daemon/src/peers/peer_answers.rs
@@ -102,7 +102,7 @@
 }
 
 async fn instances_of(app: &App, version: u64) -> Option<InstancesReply> {
-    let ask = |reply| ControlMessage::Roster { reply };
+    let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await?;
     Some(InstancesReply { version, entries })
 }
--- a/crates/daemon/src/peers/peer_message.rs
+++ b/crates/daemon/src/peers/peer_message.rs
@@ -2,9 +2,11 @@
 
 use iristhread_api::ConfigReply;
 use iristhread_api::InstancesReply;
+use iristhread_core::AdvertisedList;
+use iristhread_core::AdvertisedSuspect;
 use iristhread_core::ConfigVersion;
-use iristhread_core::Content;
 use iristhread_core::Fingerprint;
+use iristhread_core::FingerprintInput;
 use iristhread_core::GatewayConfig;
 use iristhread_core::HybridTime;
 use iristhread_core::Incarnation;
@@ -12,8 +14,6 @@
 use iristhread_core::RequestId;
 use iristhread_core::Revision;
 use iristhread_core::TimelineRecord;
-use iristhread_core::ToldList;
-use iristhread_core::ToldSuspect;
 use iristhread_core::WorkspaceId;
 use serde::Deserialize;
 use serde::Serialize;
@@ -54,7 +54,7 @@
     /// Hybrid time.
     pub time: HybridTime,
     /// Contents of requests that it suspects to end backend servers.
-    pub suspects: Packed<Vec<ToldSuspect>>,
+    pub suspects: Packed<Vec<AdvertisedSuspect>>,
 }
 
 /// A call to a plain service, for the instance of its ticket.
@@ -83,7 +83,7 @@
 impl ForwardedCall {
     /// What it consists of, for callers that come again.
     pub fn fingerprint(&self) -> Fingerprint {
-        Fingerprint::of(&Content {
+        Fingerprint::of(&FingerprintInput {
             workspace: Some(&self.workspace),
             method: &self.method,
             host: &self.service,
@@ -156,7 +156,7 @@
         config: Option<Box<Packed<GatewayConfig>>>,
         /// The list of backend servers, or what has changed since, if it is newer than the
         /// asker's.
-        list: Option<Packed<ToldList>>,
+        list: Option<Packed<AdvertisedList>>,
     },
     /// The time line.
     Timeline {
--- a/crates/daemon/src/process/answered.rs
+++ b/crates/daemon/src/process/answered.rs
@@ -1,7 +1,7 @@
 //! An answer of a backend server with what it says of the server itself.
 
-use iristhread_core::HeardNotice;
 use iristhread_core::Now;
+use iristhread_core::ObservedNotice;
 use iristhread_core::ServerNotice;
 
 /// What became of a request, an order or a question, and what the answer says of its backend
@@ -15,12 +15,12 @@
 }
 
 impl<T, E> Answered<T, E> {
-    /// What was heard of the server; `tells_limits` where it would have named its limit.
-    pub fn heard(&self, sent_at: Now, tells_limits: bool) -> HeardNotice {
-        HeardNotice {
+    /// What was heard of the server; `reports_limits` where it would have named its limit.
+    pub fn heard(&self, sent_at: Now, reports_limits: bool) -> ObservedNotice {
+        ObservedNotice {
             notice: self.notice,
             sent_at,
-            tells_limits,
+            reports_limits,
         }
     }
 
--- a/crates/daemon/src/relaying/exchange.rs
+++ b/crates/daemon/src/relaying/exchange.rs
@@ -15,9 +15,9 @@
 use hyper::body::Incoming;
 use iristhread_api::HttpClientError;
 use iristhread_core::Fingerprint;
-use iristhread_core::HeardNotice;
 use iristhread_core::Now;
-use iristhread_core::PlacementAsk;
+use iristhread_core::ObservedNotice;
+use iristhread_core::PlacementRequest;
 use iristhread_core::Ranking;
 use iristhread_core::RegionId;
 use iristhread_core::Replica;
@@ -25,7 +25,7 @@
 use iristhread_core::RunEnd;
 use iristhread_core::SendResult;
 use iristhread_core::SessionSignal;
-use iristhread_core::engine_urgency;
+use iristhread_core::engine_priority;
 use slog::info;
 use tokio::sync::mpsc;
 
@@ -160,13 +160,13 @@
 
     /// What the request asks of the backend servers: events that the caller
     /// holds are read with the prompt, and made no more.
-    fn ask(&self) -> PlacementAsk {
+    fn ask(&self) -> PlacementRequest {
         let per_event = u64::from(self.app.tokens_per_event(&self.service));
         let held = self.after_event.saturating_mul(per_event);
         let held = u32::try_from(held).unwrap_or(u32::MAX);
         let held = held.min(self.head.max_tokens);
         let expected = self.head.expected_tokens;
-        PlacementAsk {
+        PlacementRequest {
             request: self.head.request.clone(),
             fingerprint: self.fingerprint,
             service: self.service.clone(),
@@ -253,7 +253,7 @@
             time_left: self.time_left(),
             workspace: self.workspace.clone(),
             hides_key: self.hides_key,
-            urgency: Some(engine_urgency(self.workspace_rank)),
+            urgency: Some(engine_priority(self.workspace_rank)),
             backup: backup.map(|replica| replica.address),
             resume,
         };
@@ -296,7 +296,7 @@
 
     /// When the caller of a request that nobody took should come back: `otherwise` while
     /// one of the backend servers takes requests.
-    pub async fn return_after(&self, otherwise: Duration) -> Duration {
+    pub async fn caller_retry_after(&self, otherwise: Duration) -> Duration {
         let ask = self.ask();
         let control = &self.app.control;
         let asked = control.ask(|reply| GatewayMessage::ReturnAfter {
@@ -315,10 +315,10 @@
             None => head.is_not_run,
         };
         // Also when the answer is no answer of this request: the connection is its own.
-        let heard = HeardNotice {
+        let heard = ObservedNotice {
             notice: head.notice,
             sent_at,
-            tells_limits: is_ours && head.is_stamped && parts.status.is_success(),
+            reports_limits: is_ours && head.is_stamped && parts.status.is_success(),
         };
         let notices = &self.app.notices;
         notices.heard(replica, heard, &self.head.request);
--- a/crates/daemon/src/relaying/gateway_front.rs
+++ b/crates/daemon/src/relaying/gateway_front.rs
@@ -14,8 +14,8 @@
 use http_body_util::LengthLimitError;
 use http_body_util::Limited;
 use hyper::body::Incoming;
-use iristhread_core::Content;
 use iristhread_core::Fingerprint;
+use iristhread_core::FingerprintInput;
 use iristhread_core::GatewayWorkspace;
 use iristhread_core::RegionId;
 use iristhread_core::RequestClass;
@@ -95,7 +95,7 @@
             Err(refuse(StatusCode::REQUEST_TIMEOUT, message))
         })?;
     let workspace_name = workspace.map(|workspace| workspace.name.clone());
-    let fingerprint = Fingerprint::of(&Content {
+    let fingerprint = Fingerprint::of(&FingerprintInput {
         workspace: workspace_name.as_deref(),
         method: parts.method.as_str(),
         host,
--- a/crates/daemon/src/relaying/plain_call.rs
+++ b/crates/daemon/src/relaying/plain_call.rs
@@ -87,7 +87,7 @@
     let took = app.clock.now() - exchange.arrived;
     app.metrics.call_ended(call.outcome.as_str(), took);
     let retry_after = match call.outcome {
-        Outcome::NotRun => exchange.return_after(REFUSED_RETRY_AFTER).await,
+        Outcome::NotRun => exchange.caller_retry_after(REFUSED_RETRY_AFTER).await,
         Outcome::Ran | Outcome::Unknown => REFUSED_RETRY_AFTER,
     };
     told(call, retry_after)
--- a/crates/daemon/src/relaying/stream_call.rs
+++ b/crates/daemon/src/relaying/stream_call.rs
@@ -58,7 +58,7 @@
         Start::NotRun => {
             guard.ends(RunEnd::Refused);
             log_end(&exchange, "no engine took it", None);
-            let retry_after = exchange.return_after(REFUSED_RETRY_AFTER).await;
+            let retry_after = exchange.caller_retry_after(REFUSED_RETRY_AFTER).await;
             front_answer::not_run(retry_after, "no engine took the request")
         }
         Start::MayHaveRun(cause) => {
--- a/crates/daemon/src/relaying/stream_relay.rs
+++ b/crates/daemon/src/relaying/stream_relay.rs
@@ -260,7 +260,7 @@
     fn signalled(&mut self, signal: SessionSignal) -> Step {
         match signal {
             SessionSignal::MoveTo(target) if self.moving.is_none() => self.move_to(target),
-            SessionSignal::EngineBegunAnew => self.engine_begun_anew = true,
+            SessionSignal::EngineRestarted => self.engine_begun_anew = true,
             SessionSignal::Withdraw if self.events == 0 => return Step::Withdrawn,
             SessionSignal::MoveTo(_) | SessionSignal::Withdraw => {}
         }
--- a/crates/daemon/src/relaying/stream_relay/carrying.rs
+++ b/crates/daemon/src/relaying/stream_relay/carrying.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use iristhread_core::CarryTarget;
+use iristhread_core::FailoverTarget;
 use iristhread_core::Replica;
 use slog::info;
 use slog::warn;
@@ -277,7 +277,7 @@
             request: self.exchange.head.request.clone(),
             replica: source.id.clone(),
         });
-        let target = CarryTarget {
+        let target = FailoverTarget {
             from: source.id.clone(),
             replica: source,
             backup: None,
--- a/crates/daemon/src/relaying/stream_relay/resuming.rs
+++ b/crates/daemon/src/relaying/stream_relay/resuming.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::body::Incoming;
-use iristhread_core::CarryTarget;
+use iristhread_core::FailoverTarget;
 use iristhread_core::Now;
 use slog::info;
 use slog::warn;
@@ -26,7 +26,11 @@
 
 impl StreamRelay {
     /// Sends the session to an engine, which has a copy of it or runs it again.
-    pub(super) async fn resume(&mut self, target: CarryTarget, copy: Option<CopyName>) -> Resumed {
+    pub(super) async fn resume(
+        &mut self,
+        target: FailoverTarget,
+        copy: Option<CopyName>,
+    ) -> Resumed {
         let app = self.exchange.app.clone();
         let kind = match &copy {
             Some(CopyName::Moved { .. }) => "move",
@@ -76,7 +80,7 @@
 
     /// The one engine that has a copy may have asked for rest, or take no more now: the
     /// session waits for a short time, since it has nowhere else to go.
-    async fn send_when_taken(&self, target: &CarryTarget, point: ResumePoint, by: Now) -> Sent {
+    async fn send_when_taken(&self, target: &FailoverTarget, point: ResumePoint, by: Now) -> Sent {
         let clock = self.exchange.app.clock;
         loop {
             let backup = target.backup.as_ref();
@@ -96,7 +100,7 @@
         }
     }
 
-    fn go_on(&mut self, target: CarryTarget, body: Incoming, pause: Duration) {
+    fn go_on(&mut self, target: FailoverTarget, body: Incoming, pause: Duration) {
         let app = self.exchange.app.clone();
         info!(app.log, "stream goes on at another engine";
             "request" => &self.exchange.head.request,
--- a/crates/daemon/tests/heartbeat.rs
+++ b/crates/daemon/tests/heartbeat.rs
@@ -58,7 +58,7 @@
             shares,
         }),
         said_leaving: vec![server("i-9")],
-        evacuations: iristhread_core::ToldEvacuations::default(),
+        evacuations: iristhread_core::AdvertisedEvacuations::default(),
         limits: Vec::new(),
         unreachable: vec![server("i-8")],
         suspects: Vec::new(),
--- a/crates/daemon/tests/packed.rs
+++ b/crates/daemon/tests/packed.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
+use iristhread_core::AdvertisedList;
 use iristhread_core::Replica;
-use iristhread_core::ToldList;
 use iristhread_daemon::Packed;
 
-fn list(count: usize) -> ToldList {
+fn list(count: usize) -> AdvertisedList {
     let replica = |number: usize| Replica {
         id: format!("i-{number:010x}"),
         born_ms: None,
@@ -18,7 +18,7 @@
         leaving: number.is_multiple_of(2),
         warm_up: Duration::from_millis(number as u64),
     };
-    ToldList {
+    AdvertisedList {
         above: 7.into(),
         revision: 9.into(),
         replicas: (0..count).map(replica).collect(),
@@ -32,7 +32,7 @@
 fn a_packed_value_comes_back() {
     let told = Packed(list(20));
     let text = serde_json::to_string(&told).unwrap();
-    let back: Packed<ToldList> = serde_json::from_str(&text).unwrap();
+    let back: Packed<AdvertisedList> = serde_json::from_str(&text).unwrap();
     assert_eq!(back, told);
 }
 
@@ -55,7 +55,7 @@
 fn text_that_is_not_packed_is_refused() {
     for text in ["\"%%%\"", "\"AAAA\"", "7"] {
         assert!(
-            serde_json::from_str::<Packed<ToldList>>(text).is_err(),
+            serde_json::from_str::<Packed<AdvertisedList>>(text).is_err(),
             "{text}"
         );
     }
