--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -89,7 +89,7 @@
                 entries,
             },
         );
-        for (backend, _) in control.backends().watched() {
+        for (backend, _) in control.book().watched() {
             let report = report();
             control.handle(NOW, 0, Event::Report { backend, report });
         }
