--- a/crates/bench/src/bin/capacity.rs
+++ b/crates/bench/src/bin/capacity.rs
@@ -84,7 +84,7 @@
 }
 
 fn report_ms(control: &mut Control) -> f64 {
-    let watched = control.book().watched();
+    let watched = control.backends().watched();
     let mut sequence = 1;
     best(200, || {
         sequence += 1;
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -89,7 +89,7 @@
                 entries,
             },
         );
-        for (backend, _) in control.book().watched() {
+        for (backend, _) in control.backends().watched() {
             let report = report();
             control.handle(NOW, 0, Event::Report { backend, report });
         }
--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -13,8 +13,8 @@
 use crate::OwnSession;
 use crate::RequestId;
 use crate::RoutingContext;
-use crate::ServerNotice;
 use crate::ServerBackoff;
+use crate::ServerNotice;
 
 /// Assumed age of a load report when it arrives.
 const REPORT_LAG: Duration = Duration::from_millis(300);
--- a/crates/core/src/completion/control/limits.rs
+++ b/crates/core/src/completion/control/limits.rs
@@ -7,11 +7,11 @@
 use rand_core::Rng;
 
 use super::Control;
-use crate::ObservedNotice;
+use crate::DeclaredLimit;
 use crate::LimitParameters;
 use crate::LoadReport;
-use crate::DeclaredLimit;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::RequestRate;
 use crate::ServerLife;
 use crate::membership::rendezvous::weight;
--- a/crates/core/src/completion/control/notices.rs
+++ b/crates/core/src/completion/control/notices.rs
@@ -7,8 +7,8 @@
 use crate::BackendId;
 use crate::BackendView;
 use crate::Command;
-use crate::ObservedNotice;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::Refusal;
 use crate::RequestId;
 
--- a/crates/core/src/completion/control/quarantine.rs
+++ b/crates/core/src/completion/control/quarantine.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use super::Control;
+use crate::AdvertisedSuspect;
 use crate::BackendId;
 use crate::Command;
 use crate::Fingerprint;
 use crate::IncarnationId;
-use crate::Now;
 use crate::KNOWN_GOOD_AFTER;
+use crate::Now;
 use crate::Refusal;
 use crate::RequestId;
 use crate::ServerCrash;
 use crate::SuspicionUpdate;
-use crate::AdvertisedSuspect;
 use crate::Verdict;
 use crate::membership::rendezvous::weight;
 
--- a/crates/core/src/completion/event.rs
+++ b/crates/core/src/completion/event.rs
@@ -3,21 +3,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::AdvertisedSuspect;
 use crate::Attempt;
 use crate::BackendId;
 use crate::ConfigVersion;
 use crate::Document;
 use crate::Fingerprint;
-use crate::ObservedNotice;
 use crate::HybridTime;
 use crate::Incarnation;
 use crate::InstanceEntry;
 use crate::InstanceId;
 use crate::LoadReport;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::RequestId;
 use crate::TimelineEvent;
-use crate::AdvertisedSuspect;
 use crate::WorkspaceId;
 
 /// Request for an engine, for the first or a further attempt.
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,13 +1,13 @@
 //! What the platform publishes: who reads it and when, the lists that it gives, and how far an
 //! instance is with them.
 
+pub(crate) mod instance_list;
 pub(crate) mod known_versions;
-pub(crate) mod reader_ranking;
 pub mod read_timing;
+pub(crate) mod reader_ranking;
 pub(crate) mod replica;
 pub(crate) mod replica_list;
 pub(crate) mod replica_view;
 pub(crate) mod revision;
-pub(crate) mod instance_list;
 pub(crate) mod watch_cycle;
 pub(crate) mod zone_evacuations;
--- a/crates/core/src/directory/zone_evacuations.rs
+++ b/crates/core/src/directory/zone_evacuations.rs
@@ -80,7 +80,11 @@
         }
     }
 
-    fn take_whole(&mut self, now: Now, told: AdvertisedEvacuations) -> Option<Vec<EvacuationChange>> {
+    fn take_whole(
+        &mut self,
+        now: Now,
+        told: AdvertisedEvacuations,
+    ) -> Option<Vec<EvacuationChange>> {
         if told.revision <= self.revision {
             return None;
         }
--- a/crates/core/src/gateway/gateway_control/carrying.rs
+++ b/crates/core/src/gateway/gateway_control/carrying.rs
@@ -24,7 +24,10 @@
     /// Decides where a session goes on whose engine broke off; `None` when no
     /// copy of it is usable.
     pub fn fail_over(&mut self, now: Now, request: &str) -> Option<FailoverTarget> {
-        let run = self.runs.get(request).filter(|_| self.may_resend(request))?;
+        let run = self
+            .runs
+            .get(request)
+            .filter(|_| self.may_resend(request))?;
         if run.moving != Moving::Stays {
             // The copy that it moves to was never complete.
             return None;
@@ -36,7 +39,10 @@
     /// Decides where a stream is run again whose engine broke off and that has no
     /// copy; `None` when no engine takes it or the retry budget is spent.
     pub fn restart_stream(&mut self, now: Now, request: &str) -> Option<FailoverTarget> {
-        let run = self.runs.get(request).filter(|_| self.may_resend(request))?;
+        let run = self
+            .runs
+            .get(request)
+            .filter(|_| self.may_resend(request))?;
         let from = run.replica.clone();
         let mut ask = run.ask.clone();
         ask.prompt_tokens += run.generated;
@@ -69,7 +75,12 @@
 
     /// Counts a session as running at `replica` and chooses where its next
     /// copy is kept.
-    pub fn fail_over_to(&mut self, now: Now, request: &str, replica: Replica) -> Option<FailoverTarget> {
+    pub fn fail_over_to(
+        &mut self,
+        now: Now,
+        request: &str,
+        replica: Replica,
+    ) -> Option<FailoverTarget> {
         let run = self.runs.get(request)?;
         let from = run.replica.clone();
         let mut ask = run.ask.clone();
@@ -211,8 +222,9 @@
             .map(|r| r.availability_zone.clone());
         let zone = zone.unwrap_or_else(|| self.terms.zone.clone());
         let scores = self.scores_from_zone(now, &ask, Some(&from), &zone);
-        let fits =
-            |score: &ReplicaScore| score.memory <= MOVE_MEMORY_LIMIT && !tried.contains(&score.replica.id);
+        let fits = |score: &ReplicaScore| {
+            score.memory <= MOVE_MEMORY_LIMIT && !tried.contains(&score.replica.id)
+        };
         let fitting = scores.into_iter().filter(fits).map(|score| score.replica);
         let mut fitting: Vec<Replica> = fitting.collect();
         let is_free = |replica: &Replica| !self.limits.has(replica.life());
--- a/crates/core/src/gateway/gateway_control/limits.rs
+++ b/crates/core/src/gateway/gateway_control/limits.rs
@@ -4,12 +4,13 @@
 use std::time::Duration;
 
 use super::GatewayControl;
+use crate::AdvertisedLimit;
 use crate::BackendId;
-use crate::ObservedNotice;
+use crate::DeclaredLimit;
 use crate::LimitChange;
 use crate::LoadShares;
-use crate::DeclaredLimit;
 use crate::Now;
+use crate::ObservedNotice;
 use crate::PlacementRequest;
 use crate::Refusal;
 use crate::Replica;
@@ -17,7 +18,6 @@
 use crate::RequestRate;
 use crate::ServerLife;
 use crate::ServerLimits;
-use crate::AdvertisedLimit;
 
 /// Shortest time to come back that is told: a turn may come sooner, and be another's.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
@@ -122,7 +122,12 @@
     }
 
     /// Why nobody takes a request, when all who could are limited.
-    pub(super) fn all_limited(&mut self, now: Now, ask: &PlacementRequest, all: &[Replica]) -> Refusal {
+    pub(super) fn all_limited(
+        &mut self,
+        now: Now,
+        ask: &PlacementRequest,
+        all: &[Replica],
+    ) -> Refusal {
         let turns = all.iter().filter_map(|replica| {
             let left = self.time_until_turn(now, replica)?;
             Some((left, replica.life()))
--- a/crates/core/src/gateway/gateway_control/listing.rs
+++ b/crates/core/src/gateway/gateway_control/listing.rs
@@ -2,13 +2,13 @@
 
 use super::Evacuation;
 use super::GatewayControl;
+use crate::AdvertisedList;
 use crate::BackendId;
 use crate::Now;
 use crate::Replica;
 use crate::ReplicaChange;
 use crate::ReplicaList;
 use crate::Revision;
-use crate::AdvertisedList;
 
 impl GatewayControl {
     /// The list of replicas.
--- a/crates/core/src/gateway/gateway_control/notices.rs
+++ b/crates/core/src/gateway/gateway_control/notices.rs
@@ -17,9 +17,9 @@
 use crate::PlacementRequest;
 use crate::Refusal;
 use crate::Replica;
+use crate::ServerBackoff;
 use crate::ServerLife;
 use crate::ServerNotice;
-use crate::ServerBackoff;
 
 /// Longest time after a rest over which callers that were refused because of it are spread;
 /// for shorter rests it is what is left of them. Told the same moment, they would all come
@@ -133,7 +133,12 @@
 
     /// When a caller should come back whose request found nobody, placed or sent: at once
     /// where a backend server takes requests, else when the first rest is over.
-    pub fn caller_retry_after(&mut self, now: Now, ask: &PlacementRequest, otherwise: Duration) -> Duration {
+    pub fn caller_retry_after(
+        &mut self,
+        now: Now,
+        ask: &PlacementRequest,
+        otherwise: Duration,
+    ) -> Duration {
         let left = self.shortest_wait(now, ask);
         left.map_or(otherwise, |left| self.spread(left))
     }
--- a/crates/core/src/gateway/gateway_control/suspecting.rs
+++ b/crates/core/src/gateway/gateway_control/suspecting.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use super::GatewayControl;
+use crate::AdvertisedSuspect;
 use crate::BackendId;
 use crate::Fingerprint;
 use crate::IncarnationId;
+use crate::KNOWN_GOOD_AFTER;
 use crate::ListedState;
 use crate::Now;
-use crate::KNOWN_GOOD_AFTER;
 use crate::Refusal;
 use crate::Replica;
 use crate::RequestId;
 use crate::ServerCrash;
 use crate::ServerLife;
 use crate::SuspicionUpdate;
-use crate::AdvertisedSuspect;
 use crate::Verdict;
 use crate::rendezvous_rank;
 
--- a/crates/core/src/limits/server_limits.rs
+++ b/crates/core/src/limits/server_limits.rs
@@ -8,11 +8,11 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::DeclaredLimit;
 use crate::FleetMembers;
 use crate::IncarnationId;
-use crate::LimitShare;
 use crate::LimitParameters;
-use crate::DeclaredLimit;
+use crate::LimitShare;
 use crate::Now;
 use crate::RequestId;
 use crate::RequestRate;
@@ -143,7 +143,12 @@
     }
 
     /// Notes what another instance tells.
-    pub fn apply_advertised(&mut self, now: Now, told: &AdvertisedLimit, earned: f64) -> Option<LimitChange> {
+    pub fn apply_advertised(
+        &mut self,
+        now: Now,
+        told: &AdvertisedLimit,
+        earned: f64,
+    ) -> Option<LimitChange> {
         let heard_at = FleetMembers::confirmed_at(now, Duration::from_millis(told.age_ms));
         let known = self.by_life.get(&told.server.life);
         // Two relays that took the same word from each other would make it younger for ever.
@@ -313,7 +318,12 @@
 
     /// Time until this instance may send a life one request more than were told to wait for
     /// it; `None` if it may send now.
-    pub fn time_until_turn(&self, now: Now, life: IncarnationId, others: RequestRate) -> Option<Duration> {
+    pub fn time_until_turn(
+        &self,
+        now: Now,
+        life: IncarnationId,
+        others: RequestRate,
+    ) -> Option<Duration> {
         let known = self.by_life.get(&life)?;
         let limit = known.word.limit?;
         if known.share.part(now, limit, others) >= 1.0 {
--- a/crates/core/src/membership/fleet_members.rs
+++ b/crates/core/src/membership/fleet_members.rs
@@ -215,7 +215,8 @@
             false => self.members.len(),
         };
         let hearing = u32::try_from(hearing).unwrap_or(u32::MAX);
-        (HEARTBEAT_INTERVAL_PER_MEMBER * hearing).clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
+        (HEARTBEAT_INTERVAL_PER_MEMBER * hearing)
+            .clamp(MIN_HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL)
     }
 
     /// When something was confirmed of which a heartbeat tells the age.
--- a/crates/core/src/membership/fleet_members/fan_out.rs
+++ b/crates/core/src/membership/fleet_members/fan_out.rs
@@ -216,7 +216,8 @@
             let state = member.state();
             state.is_some_and(|state| state.zone == self.zone)
         };
-        let silence = super::MIN_SILENCE.max(super::MAX_HEARTBEAT_INTERVAL * super::SILENT_HEARTBEATS);
+        let silence =
+            super::MIN_SILENCE.max(super::MAX_HEARTBEAT_INTERVAL * super::SILENT_HEARTBEATS);
         let is_heard = |member: &Member| now.saturating_sub(member.heard_at) < silence;
         let near = members.filter(|(_, member)| is_near(member) && is_heard(member));
         near.map(|(address, _)| *address).collect()
--- a/crates/core/src/membership/fleet_members/reading.rs
+++ b/crates/core/src/membership/fleet_members/reading.rs
@@ -84,7 +84,9 @@
     fn slot(&self, now: Now) -> Duration {
         let place = self.place(&self.zone, now, |_| true);
         let place = u32::try_from(place).unwrap_or(u32::MAX);
-        READ_DELAY_STEP.saturating_mul(place).min(self.waits(now).max_read_delay())
+        READ_DELAY_STEP
+            .saturating_mul(place)
+            .min(self.waits(now).max_read_delay())
     }
 
     fn is_reading_zone(&self, now: Now) -> bool {
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -327,7 +327,7 @@
     }
 
     fn backends(&self, now: Now) -> Vec<BackendSnapshot> {
-        let views = self.control.book().views();
+        let views = self.control.backends().views();
         let line = |(name, view): (&String, &iristhread_core::BackendView)| BackendSnapshot {
             name: name.clone(),
             report: view.last_report().cloned(),
--- a/crates/daemon/src/completion/generation.rs
+++ b/crates/daemon/src/completion/generation.rs
@@ -174,7 +174,7 @@
                 total,
                 reason,
             } => match self.session.end(&generation, attempt, total) {
-                EndVerdict::Whole => Step::Whole(reason),
+                EndVerdict::Complete => Step::Whole(reason),
                 EndVerdict::Foreign => Step::Continue,
                 EndVerdict::Gap => Step::Lost("end mark before the last token"),
             },
