--- a/crates/core/src/completion/control/membership.rs
+++ b/crates/core/src/completion/control/membership.rs
@@ -1,4 +1,4 @@
-//! How a configuration spreads, and who reads the platform.
+//! Propagation of configurations, and the choice of the instances that read the platform.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::OfferVerdict;
 use crate::TimelineEvent;
 
-/// Peers told at once about a new configuration.
-const FANOUT: usize = 3;
+/// Number of peers of the local zone with which a new configuration is exchanged immediately.
+const CONFIG_FANOUT: usize = 3;
 
-/// Time between exchanges with a random peer of the own zone.
-const ZONE_EXCHANGE: Duration = Duration::from_secs(1);
+/// Interval between exchanges with a random peer of the local zone.
+const ZONE_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between exchanges with a random peer of any zone.
-const FAR_EXCHANGE: Duration = Duration::from_secs(5);
+/// Interval between exchanges with a random peer of any zone.
+const ANY_ZONE_EXCHANGE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Faults of a refused document that the time line names.
-const FAULTS_NAMED: usize = 3;
+/// Number of faults of a refused document that the timeline lists.
+const MAX_REPORTED_FAULTS: usize = 3;
 
 impl Control {
     pub(super) fn config_offered(
@@ -44,15 +44,18 @@
         };
         match self.config.offer(offer) {
             OfferVerdict::InForce => {
-                self.book.adopt(&document);
-                self.forget_others(&document);
+                self.backends.adopt(&document);
+                self.forget_removed_workspaces(&document);
                 self.note(None, TimelineEvent::ConfigInForce { version, source });
                 commands.push(Command::ConfigInForce { version });
-                self.spread(commands);
+                self.exchange_with_peers(commands);
                 self.drain_all(now, commands);
             }
             OfferVerdict::Refused(faults) => {
-                let named = faults.iter().take(FAULTS_NAMED).map(ToString::to_string);
+                let named = faults
+                    .iter()
+                    .take(MAX_REPORTED_FAULTS)
+                    .map(ToString::to_string);
                 let reason = named.collect::<Vec<_>>().join("; ");
                 self.note(None, TimelineEvent::ConfigRefused { version, reason });
             }
@@ -60,8 +63,8 @@
         }
     }
 
-    /// Drops what was learnt of workspaces that are gone.
-    fn forget_others(&mut self, document: &Document) {
+    /// Drops the state of workspaces that are no longer configured.
+    fn forget_removed_workspaces(&mut self, document: &Document) {
         let workspace_of = |class: &str| class.split('/').next().map(str::to_owned);
         let names = document.workspaces.iter().map(|workspace| &workspace.name);
         let names: HashSet<&String> = names.collect();
@@ -81,28 +84,28 @@
         }
     }
 
-    pub(super) fn spread(&mut self, commands: &mut Vec<Command>) {
+    pub(super) fn exchange_with_peers(&mut self, commands: &mut Vec<Command>) {
         let own_zone = self.settings.zone.clone();
-        self.exchange_with_random(Some(&own_zone), FANOUT, commands);
+        self.exchange_with_random(Some(&own_zone), CONFIG_FANOUT, commands);
         self.exchange_with_random(None, 1, commands);
     }
 
     pub(super) fn tick_membership(&mut self, now: Now, commands: &mut Vec<Command>) {
         let confirmed_at = self.config.confirmed_at().unwrap_or(Now::ZERO);
         let age = now.saturating_sub(confirmed_at);
-        let has_nothing = self.config.version() == 0;
-        let reads = has_nothing || self.rota.reads(&self.instance_list, age);
-        if reads != self.reading {
-            self.reading = reads;
+        let has_no_config = self.config.version() == 0;
+        let reads = has_no_config || self.reader_rotation.reads(&self.instance_list, age);
+        if reads != self.reads_platform {
+            self.reads_platform = reads;
             commands.push(Command::ReadPlatform { reads });
         }
         if now >= self.next_zone_exchange {
-            self.next_zone_exchange = now + self.jittered(ZONE_EXCHANGE);
+            self.next_zone_exchange = now + self.jittered(ZONE_EXCHANGE_INTERVAL);
             let own_zone = self.settings.zone.clone();
             self.exchange_with_random(Some(&own_zone), 1, commands);
         }
-        if now >= self.next_far_exchange {
-            self.next_far_exchange = now + self.jittered(FAR_EXCHANGE);
+        if now >= self.next_any_zone_exchange {
+            self.next_any_zone_exchange = now + self.jittered(ANY_ZONE_EXCHANGE_INTERVAL);
             self.exchange_with_random(None, 1, commands);
         }
     }
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Draws `count` different peers of `zone`, or of any.
+    /// Exchanges with up to `count` different random peers of `zone`, or of any zone.
     fn exchange_with_random(
         &mut self,
         zone: Option<&str>,
@@ -128,10 +131,10 @@
         commands: &mut Vec<Command>,
     ) {
         let own = self.settings.instance.clone();
-        let wanted = |entry: &&InstanceEntry| {
+        let is_peer = |entry: &&InstanceEntry| {
             entry.instance != own && zone.is_none_or(|zone| entry.availability_zone == zone)
         };
-        let peers = self.instance_list.entries().filter(wanted);
+        let peers = self.instance_list.entries().filter(is_peer);
         let mut peers: Vec<String> = peers.map(|entry| entry.instance.clone()).collect();
         for _ in 0..count.min(peers.len()) {
             let draw = self.random.next_u32() as usize % peers.len();
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Between 0.75 and 1.25 of the interval, so that instances drift apart.
+    /// Returns a random time between 0.75 and 1.25 of the interval, so that instances don't stay
+    /// synchronized.
     fn jittered(&mut self, interval: Duration) -> Duration {
         let share = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         interval.mul_f64(0.75 + share / 2.0)
--- a/crates/core/src/completion/control/notices.rs
+++ b/crates/core/src/completion/control/notices.rs
@@ -1,4 +1,4 @@
-//! What backend servers say of themselves in their answers, on the completion interface.
+//! Server notices in the answers of backend servers, on the completion interface.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,89 +13,101 @@
 use crate::RequestId;
 
 impl Control {
-    /// Notes what an answer said of its backend server.
-    pub(super) fn noticed(&mut self, now: Now, backend: &str, heard: &ObservedNotice) {
-        if let Some(view) = self.book.view_mut(backend) {
-            view.noticed(now, &heard.notice);
+    /// Applies the server notice of an answer.
+    pub(super) fn observe_notice(&mut self, now: Now, backend: &str, heard: &ObservedNotice) {
+        if let Some(view) = self.backends.view_mut(backend) {
+            view.observe_notice(now, &heard.notice);
         }
-        self.limit_noticed(now, backend, heard);
+        self.observe_limit_notice(now, backend, heard);
     }
 
-    /// Whether a call may be sent to a runner now: it may have said something since the
-    /// runners were ranked.
+    /// Returns whether a call may be sent to a runner now, and if so counts it as sent. This is
+    /// checked again because a notice may have arrived since the runners were ranked.
     pub fn may_call(&mut self, now: Now, backend: &str, request: &RequestId) -> bool {
-        let view = self.book.view_mut(backend);
-        view.is_some_and(|view| view.may_call(now, request)) && self.request_grant(now, backend)
+        let view = self.backends.view_mut(backend);
+        view.is_some_and(|view| view.may_call(now, request)) && self.try_acquire(now, backend)
     }
 
-    /// Whether something may be sent to a backend server about what it runs: it has not
-    /// asked for rest, and takes more under the limit that it named.
+    /// Returns whether a message about running work may be sent to a backend server: the server is
+    /// not backing off, and its limit allows another request. An allowed one counts as sent.
     pub fn may_reach(&mut self, now: Now, backend: &str) -> bool {
-        !self.rests(now, backend) && self.request_grant(now, backend)
+        !self.is_backing_off(now, backend) && self.try_acquire(now, backend)
     }
 
-    /// Whether a backend server has asked for rest that is not over.
-    fn rests(&self, now: Now, backend: &str) -> bool {
-        let view = self.book.view(backend);
-        view.is_some_and(|view| view.rest_left(now).is_some())
+    /// Returns whether a backend server has asked for a backoff that has not ended.
+    fn is_backing_off(&self, now: Now, backend: &str) -> bool {
+        let view = self.backends.view(backend);
+        view.is_some_and(|view| view.backoff_left(now).is_some())
     }
 
-    /// The time until the first runner of a service has rested, or takes one more under its
-    /// limit; `None` unless all that could run a call rest or are limited.
+    /// Returns the time until the first runner of a service ends its backoff or has room under its
+    /// limit; `None` unless all runners that are not draining are backing off or limited.
     pub fn time_until_runner(&self, now: Now, service: &str) -> Option<Duration> {
-        let views = self.book.views().map(|(_, view)| view);
+        let views = self.backends.views().map(|(_, view)| view);
         let runners = views.filter(|view| view.server().service.as_deref() == Some(service));
-        let staying = runners.filter(|view| !view.leaves());
-        let lefts: Option<Vec<Duration>> = staying.map(|view| self.wait_for(now, view)).collect();
-        lefts?.into_iter().min()
+        let available = runners.filter(|view| !view.is_draining());
+        let waits: Option<Vec<Duration>> = available
+            .map(|view| self.time_until_available(now, view))
+            .collect();
+        waits?.into_iter().min()
     }
 
-    /// Time until a backend server takes something.
-    fn wait_for(&self, now: Now, view: &BackendView) -> Option<Duration> {
-        let rest = view.rest_left(now);
-        rest.or_else(|| self.time_until_turn(now, &view.server().name))
+    /// Returns the time until a backend server accepts a request; `None` if it does now.
+    fn time_until_available(&self, now: Now, view: &BackendView) -> Option<Duration> {
+        let backoff = view.backoff_left(now);
+        backoff.or_else(|| self.time_until_allowed(now, &view.server().name))
     }
 
-    /// The time until the first engine of a model has rested; `None` unless all rest.
-    fn engines_rest(&self, now: Now, model: &str) -> Option<Duration> {
-        let staying = self.book.subset(model).filter(|view| !view.leaves());
-        let lefts: Option<Vec<Duration>> = staying.map(|view| view.rest_left(now)).collect();
-        lefts?.into_iter().min()
+    /// Returns the time until the first engine of a model ends its backoff; `None` unless all
+    /// engines that are not draining are backing off.
+    fn engines_backoff(&self, now: Now, model: &str) -> Option<Duration> {
+        let available = self
+            .backends
+            .subset(model)
+            .filter(|view| !view.is_draining());
+        let waits: Option<Vec<Duration>> = available.map(|view| view.backoff_left(now)).collect();
+        waits?.into_iter().min()
     }
 
-    /// Why no engine takes a request.
-    pub(super) fn nothing_takes(&self, now: Now, model: &str) -> Refusal {
-        if let Some(left) = self.engines_rest(now, model) {
+    /// Returns the refusal of a request that no engine accepts.
+    pub(super) fn no_engine_refusal(&self, now: Now, model: &str) -> Refusal {
+        if let Some(left) = self.engines_backoff(now, model) {
             return Refusal::resting(model, left);
         }
-        let staying = self.book.subset(model).filter(|view| !view.leaves());
-        let lefts: Option<Vec<Duration>> = staying.map(|view| self.wait_for(now, view)).collect();
-        match lefts.and_then(|lefts| lefts.into_iter().min()) {
+        let available = self
+            .backends
+            .subset(model)
+            .filter(|view| !view.is_draining());
+        let waits: Option<Vec<Duration>> = available
+            .map(|view| self.time_until_available(now, view))
+            .collect();
+        match waits.and_then(|waits| waits.into_iter().min()) {
             Some(left) => Refusal::limited(model, left),
             None => Refusal::no_backend(model),
         }
     }
 
-    /// Refuses what waits for a model whose engines all rest for longer than it can wait:
-    /// it is known already that it can't be served.
-    pub(super) fn refuse_outlasted(&mut self, now: Now, commands: &mut Vec<Command>) {
+    /// Refuses queued requests whose deadline passes before the first engine of their model ends
+    /// its backoff, because they can't be served in time.
+    pub(super) fn refuse_blocked_by_backoff(&mut self, now: Now, commands: &mut Vec<Command>) {
         let models: Vec<String> = self.queues.keys().cloned().collect();
         for model in models {
-            let Some(left) = self.engines_rest(now, &model) else {
+            let Some(left) = self.engines_backoff(now, &model) else {
                 continue;
             };
             let queue = self.queues.get_mut(&model);
-            let hopeless = queue.map(|queue| queue.take_expired(now.saturating_add(left)));
-            for queued in hopeless.unwrap_or_default() {
+            let unservable = queue.map(|queue| queue.take_expired(now.saturating_add(left)));
+            for queued in unservable.unwrap_or_default() {
                 let refusal = Refusal::resting(&model, left);
                 self.refuse(queued.submission.request, refusal, commands);
             }
         }
     }
 
-    /// Engines whose reports this instance needs, but for those that want no question now.
+    /// Returns the engines to poll for load reports: those that this instance needs, without those
+    /// that are backing off or whose limit allows no request now.
     pub fn watched(&mut self, now: Now) -> Vec<(BackendId, SocketAddr)> {
-        let mut watched = self.book.watched();
+        let mut watched = self.backends.watched();
         watched.retain(|(backend, _)| self.may_reach(now, backend));
         watched
     }
--- a/crates/core/src/completion/control/placing.rs
+++ b/crates/core/src/completion/control/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests run, when they start, who waits and who is told no.
+//! Placement of requests: admission, choice of an engine, start and end of attempts.
 
 use std::time::Duration;
 
@@ -22,17 +22,18 @@
 use crate::WorkspaceId;
 use crate::completion::router::Choice;
 
-/// Advice when a queue is full or a deadline can't be met.
+/// Retry-After of refusals for a full queue, an exhausted retry budget or a missed deadline.
 pub(super) const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Most instances for which one own start is taken to stand: with more, the
-/// guess would be noise (docs/CAPACITY.md).
+/// Maximum number of instances that are assumed to behave like this one. With more instances the
+/// extrapolation from this one would be noise (docs/CAPACITY.md).
 const MAX_SHARERS: u32 = 8;
 
-/// Prefixes remembered; the oldest half goes when it is full.
-const MAX_WARM: usize = 8_192;
+/// Maximum number of prefixes whose engine is recorded. Half of the entries are dropped when the
+/// map is full.
+const MAX_WARM_PREFIXES: usize = 8_192;
 
-/// Quantile of the length that a workspace is charged for at the start.
+/// Quantile of the estimated length that a workspace is charged for when a request starts.
 const CHARGED_QUANTILE: f64 = 0.5;
 
 impl Control {
@@ -66,22 +67,22 @@
             .is_some_and(|queue| !queue.is_empty());
         if !waits || submission.attempt > 1 {
             let choice = self.choose(now, &submission);
-            let nothing_there = choice.engine.is_none() && !choice.may_wait;
+            let no_engine = choice.engine.is_none() && !choice.may_wait;
             if choice.engine.is_some() {
                 self.charge(&workspace, &submission);
                 self.start(now, submission, choice, commands);
                 return Ok(());
             }
-            if nothing_there && !submission.delivering {
-                return Err(self.nothing_takes(now, &submission.model));
+            if no_engine && !submission.delivering {
+                return Err(self.no_engine_refusal(now, &submission.model));
             }
         }
         self.enqueue(now, &workspace, submission)
     }
 
-    /// A first attempt counts against the limits of the workspace; a further
-    /// one before the first token spends a retry; work that the caller holds a
-    /// part of is never refused here.
+    /// Admits an attempt. A first attempt counts against the limits of the workspace. A further
+    /// attempt before the first token spends from the retry budget. An attempt for a request whose
+    /// caller has received tokens already is never refused here.
     fn admit(
         &mut self,
         now: Now,
@@ -90,7 +91,7 @@
     ) -> Result<(), Refusal> {
         if submission.attempt <= 1 {
             self.admission.open(now, workspace)?;
-            self.open.insert(submission.request.clone());
+            self.open_ids.insert(submission.request.clone());
             self.budget.earn(&workspace.name);
             return Ok(());
         }
@@ -153,22 +154,20 @@
                 sharers,
                 need: &need,
             };
-            let choice = self.router.choose(&self.book, &context);
+            let choice = self.router.choose(&self.backends, &context);
             match &choice.engine {
-                Some(engine) if !self.request_grant(now, engine) => {
-                    need.limited.push(engine.clone())
-                }
+                Some(engine) if !self.try_acquire(now, engine) => need.limited.push(engine.clone()),
                 _ => return choice,
             }
         }
     }
 
-    /// Instances that send to the engines of this instance's subset, itself
-    /// included: those of the zone where the zone has engines enough, else all.
+    /// Number of instances that send to the engines of this instance's subset, including this one:
+    /// the live instances of the local zone if all these engines are in it, else all instances.
     fn sharers(&self, model: &str) -> u32 {
         let own_zone = self.settings.zone.as_str();
-        let is_near = |view: &BackendView| view.server.availability_zone == own_zone;
-        let instances = match self.book.subset(model).all(is_near) {
+        let is_local = |view: &BackendView| view.server.availability_zone == own_zone;
+        let instances = match self.backends.subset(model).all(is_local) {
             true => self.instance_list.live_in(own_zone).len(),
             false => self.instance_list.entries().count(),
         };
@@ -186,7 +185,7 @@
         let Some(engine) = choice.engine else {
             return;
         };
-        let Some(address) = self.book.view(&engine).map(|view| view.server.address) else {
+        let Some(address) = self.backends.view(&engine).map(|view| view.server.address) else {
             return;
         };
         let request = submission.request.clone();
@@ -199,7 +198,7 @@
             },
         );
         self.adopt(now, &submission, engine.clone());
-        self.remember_warm(submission.prefix, &engine);
+        self.record_warm_prefix(submission.prefix, &engine);
         commands.push(Command::Start {
             request,
             placement: Placement {
@@ -210,7 +209,7 @@
         });
     }
 
-    /// Counts an attempt as running on an engine.
+    /// Records an attempt as running on an engine.
     pub(super) fn adopt(&mut self, now: Now, submission: &Submission, engine: BackendId) {
         let class = class_of(&submission.workspace, &submission.model);
         let session = OwnSession {
@@ -219,14 +218,14 @@
             generated: submission.generated,
             ..OwnSession::default()
         };
-        if let Some(view) = self.book.view_mut(&engine) {
+        if let Some(view) = self.backends.view_mut(&engine) {
             view.start(now, submission.request.clone(), session, &self.estimator);
         }
         let running = Running {
             engine,
             class,
             fingerprint: submission.fingerprint,
-            begun_at: None,
+            first_progress_at: None,
         };
         self.running.insert(submission.request.clone(), running);
     }
@@ -235,7 +234,7 @@
         let Some(running) = self.running.get(request) else {
             return;
         };
-        let Some(view) = self.book.view_mut(&running.engine) else {
+        let Some(view) = self.backends.view_mut(&running.engine) else {
             return;
         };
         view.succeed();
@@ -254,7 +253,7 @@
             return;
         };
         self.estimator.finished(&running.class, generated);
-        self.ran_well(now, running.fingerprint);
+        self.record_success(now, running.fingerprint);
         self.drain_engine(now, &running.engine, commands);
     }
 
@@ -277,31 +276,31 @@
 
     pub(super) fn closed(&mut self, request: &RequestId, workspace: &WorkspaceId) {
         self.release(request);
-        self.proven_requests.remove(request);
+        self.known_good_requests.remove(request);
         for queue in self.queues.values_mut() {
             queue.remove(request);
         }
-        if self.open.remove(request) {
+        if self.open_ids.remove(request) {
             self.admission.close(workspace);
         }
     }
 
     fn release(&mut self, request: &RequestId) -> Option<Running> {
         let running = self.running.remove(request)?;
-        if let Some(view) = self.book.view_mut(&running.engine) {
+        if let Some(view) = self.backends.view_mut(&running.engine) {
             view.end(request);
         }
         Some(running)
     }
 
     pub(super) fn backend_failed(&mut self, now: Now, backend: &str) {
-        if let Some(view) = self.book.view_mut(backend) {
+        if let Some(view) = self.backends.view_mut(backend) {
             view.fail(now);
         }
     }
 
     pub(super) fn backend_answered(&mut self, now: Now, backend: &str) {
-        if let Some(view) = self.book.view_mut(backend) {
+        if let Some(view) = self.backends.view_mut(backend) {
             view.answered(now);
         }
     }
@@ -321,12 +320,12 @@
         f64::from(submission.prompt_tokens) + f64::from(further)
     }
 
-    fn remember_warm(&mut self, prefix: u64, engine: &BackendId) {
-        if self.warm.len() >= MAX_WARM {
-            let mut place = 0;
+    fn record_warm_prefix(&mut self, prefix: u64, engine: &BackendId) {
+        if self.warm.len() >= MAX_WARM_PREFIXES {
+            let mut index = 0;
             self.warm.retain(|_, _| {
-                place += 1;
-                place % 2 == 0
+                index += 1;
+                index % 2 == 0
             });
         }
         self.warm.insert(prefix, engine.clone());
--- a/crates/core/src/servers/draining_marks.rs
+++ b/crates/core/src/servers/draining_marks.rs
@@ -1,6 +1,6 @@
-//! Lives of backend servers that said that they leave. None ever takes that back, so the
-//! mark outlives the entry in the platform's list: an entry that lapsed, or is read again as
-//! it was before, doesn't bring a leaving server back into use.
+//! Incarnations of backend servers that announced that they are draining. This is never
+//! withdrawn, so the mark outlives the entry in the platform's list: if the entry expires, or an
+//! earlier version of it is read again, the draining server does not come back into use.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,15 +9,16 @@
 use crate::IncarnationId;
 use crate::Now;
 
-/// How long the mark of a life that is listed no more is kept: longer than an outage of the
-/// directory in which its entry may have lapsed.
-const KEPT_FOR: Duration = Duration::from_secs(60);
+/// How long the mark of an incarnation that is no longer listed is kept: longer than an outage of
+/// the directory in which its entry may have expired.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// How long a life that is listed no more may still be sent something that was placed before:
-/// a second try follows within twice the objective of a request, 1.8 s at most.
-const PLACED_FOR: Duration = Duration::from_secs(4);
+/// How long requests that were placed before may still be sent to an incarnation that is no longer
+/// listed: a second attempt follows within twice the objective of a request, 1.8 s at most.
+const PLACEMENT_LIFETIME: Duration = Duration::from_secs(4);
 
-/// Marks by life, with the time from which on a life is not listed.
+/// Marks by incarnation, with the time at which the incarnation left the list (`None` while it
+/// is listed).
 #[derive(Clone, Debug, Default)]
 pub struct DrainingMarks {
     unlisted_at: BTreeMap<IncarnationId, Option<Now>>,
@@ -25,56 +26,62 @@
 }
 
 impl DrainingMarks {
-    /// Marks a life; returns whether that is news.
-    pub fn mark(&mut self, now: Now, life: IncarnationId, is_listed: bool) -> bool {
+    /// Marks an incarnation as draining; returns whether it was unmarked before.
+    pub fn mark(&mut self, now: Now, incarnation: IncarnationId, is_listed: bool) -> bool {
         let unlisted_at = (!is_listed).then_some(now);
-        let is_news = self.unlisted_at.insert(life, unlisted_at).is_none();
-        self.version += u64::from(is_news);
-        is_news
+        let is_new = self.unlisted_at.insert(incarnation, unlisted_at).is_none();
+        self.version += u64::from(is_new);
+        is_new
     }
 
-    /// Whether a life is marked.
-    pub fn has(&self, life: IncarnationId) -> bool {
-        self.unlisted_at.contains_key(&life)
+    /// Whether an incarnation is marked.
+    pub fn has(&self, incarnation: IncarnationId) -> bool {
+        self.unlisted_at.contains_key(&incarnation)
     }
 
-    /// Notes that a life is listed.
-    pub fn listed(&mut self, life: IncarnationId) {
-        if let Some(unlisted_at) = self.unlisted_at.get_mut(&life) {
+    /// Records that an incarnation is listed.
+    pub fn listed(&mut self, incarnation: IncarnationId) {
+        if let Some(unlisted_at) = self.unlisted_at.get_mut(&incarnation) {
             *unlisted_at = None;
         }
     }
 
-    /// Notes that a life is listed no more.
-    pub fn unlisted(&mut self, now: Now, life: IncarnationId) {
-        if let Some(unlisted_at) = self.unlisted_at.get_mut(&life) {
+    /// Records that an incarnation is no longer listed.
+    pub fn unlisted(&mut self, now: Now, incarnation: IncarnationId) {
+        if let Some(unlisted_at) = self.unlisted_at.get_mut(&incarnation) {
             unlisted_at.get_or_insert(now);
         }
     }
 
-    /// Drops the mark of a life that can't be told from the next one under its id.
-    pub fn forget(&mut self, life: IncarnationId) {
-        let was_marked = self.unlisted_at.remove(&life).is_some();
+    /// Removes the mark of an incarnation that can't be distinguished from the next one with the
+    /// same id.
+    pub fn forget(&mut self, incarnation: IncarnationId) {
+        let was_marked = self.unlisted_at.remove(&incarnation).is_some();
         self.version += u64::from(was_marked);
     }
 
-    /// Drops marks of lives that are long gone.
+    /// Removes the marks of incarnations that have been unlisted for 60 s.
     pub fn expire(&mut self, now: Now) {
-        let is_kept = |at: &Option<Now>| at.is_none_or(|at| now.saturating_sub(at) < KEPT_FOR);
+        let is_kept =
+            |at: &Option<Now>| at.is_none_or(|at| now.saturating_sub(at) < UNLISTED_RETENTION);
         self.unlisted_at.retain(|_, at| is_kept(at));
     }
 
-    /// Rises with each life that is marked or no longer is.
+    /// Version of the set of marks; increases when an incarnation is newly marked or its mark is
+    /// removed by [`DrainingMarks::forget`].
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The marked lives to which something may be on its way: few of all that are marked
-    /// where many servers are replaced.
+    /// The marked incarnations to which requests may still be on their way: a small part of all
+    /// marks where many servers are replaced.
     pub fn lives(&self, now: Now) -> BTreeSet<IncarnationId> {
         let marks = self.unlisted_at.iter();
-        let recent = |at: &Option<Now>| at.is_none_or(|at| now.saturating_sub(at) < PLACED_FOR);
-        let lives = marks.filter(|(_, at)| recent(at)).map(|(life, _)| *life);
+        let recent =
+            |at: &Option<Now>| at.is_none_or(|at| now.saturating_sub(at) < PLACEMENT_LIFETIME);
+        let lives = marks
+            .filter(|(_, at)| recent(at))
+            .map(|(incarnation, _)| *incarnation);
         lives.collect()
     }
 }
--- a/crates/core/src/servers/failure_backoff.rs
+++ b/crates/core/src/servers/failure_backoff.rs
@@ -1,46 +1,46 @@
-//! How long a backend server that failed is left alone.
+//! Backoff after failures of a backend server.
 
 use std::time::Duration;
 
 use crate::Now;
 
-/// First pause after a failure; doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Backoff after the first failure; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Longest pause of a backend server that keeps failing.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+/// Maximum backoff of a backend server that keeps failing.
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
-/// Doublings after which the pause grows no longer.
+/// Number of doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Exponential backoff of one backend server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailureBackoff {
     failures: u32,
-    paused_until: Now,
+    backoff_until: Now,
 }
 
 impl FailureBackoff {
-    /// Notes a failure.
+    /// Records a failure and starts the next backoff.
     pub fn fail(&mut self, now: Now) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
-        let pause = FIRST_PAUSE * 2_u32.pow(doublings);
+        let backoff = INITIAL_BACKOFF * 2_u32.pow(doublings);
         self.failures += 1;
-        self.paused_until = now + pause.min(LONGEST_PAUSE);
+        self.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 
-    /// Notes success: the backend server counts as well again.
+    /// Records a success, which resets the backoff.
     pub fn succeed(&mut self) {
         *self = FailureBackoff::default();
     }
 
-    /// Whether it is left alone now.
+    /// Whether the backoff is still running.
     pub fn is_backing_off(&self, now: Now) -> bool {
-        self.paused_until > now
+        self.backoff_until > now
     }
 
-    /// Whether its last request failed: when the pause is over, one request
-    /// may try.
+    /// Whether the last request failed: after the backoff, one trial request may be
+    /// sent.
     pub fn on_probation(&self) -> bool {
         self.failures > 0
     }
--- a/crates/core/src/servers/server_backoff.rs
+++ b/crates/core/src/servers/server_backoff.rs
@@ -1,82 +1,83 @@
-//! The rest that a backend server asked for: nothing is sent while it lasts, and after it
-//! one request tries whether the server takes work again.
+//! A backoff that a backend server requested: nothing is sent while it lasts, and after it a
+//! single trial request checks whether the server accepts work again.
 
 use std::time::Duration;
 
 use crate::Now;
 use crate::RequestId;
 
-/// Time after which another request may try although nothing is known of the first: its task
-/// may have ended with its caller. Longer than calls take, and streams to begin.
-const LONGEST_TRIAL: Duration = Duration::from_secs(10);
+/// Time after which another trial request may be sent although the first has no result: its task
+/// may have ended with its caller. Longer than calls take, and than streams take to begin.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Rest of one backend server, as this instance was asked for it.
+/// Backoff of one backend server, as requested in its answers to this instance.
 ///
-/// A rest is no failure: the server is there, and its load is its own matter. But one that
-/// was too busy would be too busy again if all that waited came back at the same moment, so
-/// an instance sends one request first, and more once that was taken.
+/// A backoff is not a failure: the server is reachable and controls its own load. But an
+/// overloaded server would be overloaded again if all waiting requests were sent to it at the same
+/// time, so an instance sends one trial request first, and more once the server has accepted it.
 #[derive(Clone, Debug, Default)]
 pub struct ServerBackoff {
     until: Now,
-    /// The request that tries it, and since when.
-    trial: Option<(RequestId, Now)>,
+    /// The trial request and when it was sent.
+    trial_request: Option<(RequestId, Now)>,
 }
 
 impl ServerBackoff {
-    /// Notes that the server asked for rest. Of several the longest counts, in whatever
-    /// order their answers are read.
-    pub fn asked(&mut self, now: Now, rest: Duration) {
-        self.until = self.until.max(now.saturating_add(rest));
-        self.trial = None;
+    /// Records that the server requested a backoff. Of several, the one that ends last applies,
+    /// whatever the order in which the answers are read.
+    pub fn asked(&mut self, now: Now, backoff: Duration) {
+        self.until = self.until.max(now.saturating_add(backoff));
+        self.trial_request = None;
     }
 
-    /// When it is over.
+    /// When the backoff ends.
     pub fn until(&self) -> Now {
         self.until
     }
 
-    /// How much longer it lasts.
+    /// Remaining time of the backoff.
     pub fn left(&self, now: Now) -> Duration {
         self.until.saturating_sub(now)
     }
 
-    /// Whether a request may be sent: the rest is over and no other one is trying.
+    /// Whether a request may be sent: the backoff is over and no trial request is pending.
     pub fn may_send(&self, now: Now) -> bool {
-        let trial_ends = |(_, since): &(RequestId, Now)| *since + LONGEST_TRIAL;
-        let is_tried = self
-            .trial
+        let trial_expires_at = |(_, since): &(RequestId, Now)| *since + TRIAL_TIMEOUT;
+        let is_trial_pending = self
+            .trial_request
             .as_ref()
-            .is_some_and(|trial| now < trial_ends(trial));
-        self.left(now).is_zero() && !is_tried
+            .is_some_and(|trial_request| now < trial_expires_at(trial_request));
+        self.left(now).is_zero() && !is_trial_pending
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent, which becomes the trial request if none is pending.
     pub fn sent(&mut self, now: Now, request: &str) {
         if self.may_send(now) {
-            self.trial = Some((request.to_owned(), now));
+            self.trial_request = Some((request.to_owned(), now));
         }
     }
 
-    /// Notes that a request is at the server no longer; the next one may try if it did.
+    /// Records that a request is no longer at the server; if it was the trial request, the next
+    /// request may be one.
     pub fn gone(&mut self, request: &str) {
-        if self.is_tried_by(request) {
-            self.trial = None;
+        if self.is_trial_request(request) {
+            self.trial_request = None;
         }
     }
 
-    /// Whether the server, by taking a request, has shown that the rest is behind it.
-    /// Requests that it had taken before it asked show nothing.
+    /// Whether the server's acceptance of a request shows that the backoff has ended. Requests that
+    /// it had accepted before it requested the backoff show nothing.
     pub fn is_ended_by(&self, request: &str) -> bool {
-        self.is_tried_by(request)
+        self.is_trial_request(request)
     }
 
-    /// Whether the rest is over, so that an answer shows that the server takes work.
+    /// Whether the backoff is over, so that an answer shows that the server accepts work.
     pub fn is_over(&self, now: Now) -> bool {
         self.left(now).is_zero()
     }
 
-    fn is_tried_by(&self, request: &str) -> bool {
-        let trial = self.trial.as_ref();
-        trial.is_some_and(|(trial, _)| trial == request)
+    fn is_trial_request(&self, request: &str) -> bool {
+        let trial_request = self.trial_request.as_ref();
+        trial_request.is_some_and(|(trial_request, _)| trial_request == request)
     }
 }
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -79,7 +79,7 @@
     pub(super) fn leaves(&mut self, server: &ServerLife, source: Option<String>) {
         let now = self.clock.now();
         let to_us = source.is_none();
-        if let Some(evacuations) = self.control.leaves(now, server, to_us) {
+        if let Some(evacuations) = self.control.report_draining(now, server, to_us) {
             self.said_it_leaves(server, source, evacuations);
         }
         self.tell_stops();
@@ -104,14 +104,14 @@
     pub(super) fn noticed(&mut self, server: &ServerLife, heard: &ObservedNotice) {
         let now = self.clock.now();
         let notice = &heard.notice;
-        let change = self.control.limit_noticed(now, server, heard);
+        let change = self.control.observe_limit(now, server, heard);
         self.limit_changed(server, change, None);
         if let Some(rest) = notice.rest() {
             info!(self.log, "backend server rests";
                 "backend_server" => &server.id, "rest_ms" => rest.as_millis() as u64,
                 "list_revision" => %self.control.list().revision());
         }
-        if let Some(evacuations) = self.control.noticed(now, server, notice) {
+        if let Some(evacuations) = self.control.observe_notice(now, server, notice) {
             self.said_it_leaves(server, None, evacuations);
         }
         self.tell_stops();
