--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,5 +1,5 @@
-//! The border to the platform's directory: the published configuration and the
-//! list of backend servers, which can be read and watched.
+//! Interface to the platform's directory. The published configuration and the list of
+//! backend servers can be read and watched.
 
 use std::time::Duration;
 
@@ -14,99 +14,100 @@
 use thiserror::Error;
 
 pub(crate) mod config_reader;
-pub(crate) mod directory_knowledge;
-pub(crate) mod directory_trouble;
+pub(crate) mod directory_state;
 pub(crate) mod list_reader;
+pub(crate) mod outage_tracker;
 pub(crate) mod skipped_entries;
 
-/// Why a read failed.
+/// Reason why a call to the directory failed.
 #[derive(Clone, Debug, Error)]
 pub enum DirectoryError {
-    /// No connection, or it broke.
-    #[error("the directory can't be reached: {0}")]
+    /// The connection could not be opened, or it was lost.
+    #[error("directory unreachable: {0}")]
     Unreachable(String),
-    /// No answer in time.
-    #[error("the directory did not answer in time")]
+    /// The directory did not answer before the timeout.
+    #[error("directory did not answer before the timeout")]
     Silent,
-    /// It asks for fewer calls, or serves nobody.
-    #[error("the directory refuses calls with status {0}")]
+    /// The directory answered with an error status: it limits calls, or serves none.
+    #[error("directory refused the call with status {0}")]
     Busy(u16),
-    /// The changes after that revision are forgotten.
-    #[error("the directory has forgotten the changes since then")]
+    /// The directory no longer keeps the changes after the requested revision.
+    #[error("directory no longer keeps the changes after the requested revision")]
     HistoryGone,
-    /// The pages of one reading are of different eras of the directory.
-    #[error("the directory came back from a copy in the middle of a reading")]
+    /// The pages of one read belong to different eras of the directory.
+    #[error("directory was restored from a copy during the read")]
     EraChanged,
-    /// The answer makes no sense.
-    #[error("the answer of the directory can't be read: {0}")]
+    /// The answer is malformed or inconsistent.
+    #[error("invalid answer of the directory: {0}")]
     Unreadable(String),
 }
 
-/// A value together with the revision of the directory.
+/// A value read from the directory, with the revision that it belongs to.
 #[derive(Clone, Debug)]
 pub struct Read<T> {
-    /// The value.
+    /// The value that was read.
     pub value: T,
-    /// The directory's revision when it answered.
+    /// Revision of the directory at the time of the answer.
     pub revision: Revision,
-    /// Entries that could not be read and are left out.
+    /// Entries that could not be parsed; the value does not contain them.
     pub skipped: Vec<SkippedEntry>,
 }
 
-/// An entry that can't be read, perhaps by another writer.
+/// A directory entry that can't be parsed. Other programs may write to the directory, too.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SkippedEntry {
-    /// Its key.
+    /// Key of the entry.
     pub key: String,
-    /// Count of its writing, to tell it from others of its key.
+    /// Revision of the write, which distinguishes it from other writes to the same key.
     pub revision: u64,
-    /// What is wrong with it.
+    /// Description of the error in the entry.
     pub reason: String,
 }
 
-/// The whole list of backend servers.
+/// The full list of backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// Those that can be used.
+    /// Backend servers with a valid entry.
     pub replicas: Vec<Replica>,
-    /// Ids whose entry is there and can't be used.
+    /// Ids of backend servers whose entry exists but is not valid.
     pub unusable: Vec<BackendId>,
 }
 
-/// What the operators have published.
+/// Everything that the operators have published.
 #[derive(Clone, Debug, Default)]
 pub struct Published {
-    /// The newest configuration, `None` when there is none.
+    /// The latest configuration; `None` if none has been published.
     pub config: Option<GatewayConfig>,
-    /// Availability zones that are to be emptied.
+    /// Availability zones under evacuation.
     pub evacuated: Vec<ZoneId>,
 }
 
-/// What the operators have published since a revision.
+/// Changes that the operators have published since a revision.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedChanges {
-    /// Configurations, the oldest first.
+    /// Configurations, oldest first.
     pub configs: Vec<GatewayConfig>,
-    /// Zones that are to be emptied, and those that no longer are, in order.
+    /// Starts and ends of zone evacuations, in order.
     pub evacuations: Vec<EvacuationChange>,
 }
 
-/// Reads and watches; nothing can be written.
+/// Read-only access to the directory.
 pub trait Directory: Send + Sync {
-    /// What the operators have published.
+    /// Reads everything that the operators have published.
     fn published(&self) -> BoxFuture<'_, Result<Read<Published>, DirectoryError>>;
 
-    /// Waits for what is published after a revision; nothing when the time is over.
+    /// Waits up to `wait` for changes published after a revision; returns no changes if there
+    /// were none in this time.
     fn published_after(
         &self,
         after: Revision,
         wait: Duration,
     ) -> BoxFuture<'_, Result<Read<PublishedChanges>, DirectoryError>>;
 
-    /// The whole list of backend servers.
+    /// Reads the full list of backend servers.
     fn replicas(&self) -> BoxFuture<'_, Result<Read<Listing>, DirectoryError>>;
 
-    /// Waits for changes of the list after a revision.
+    /// Waits up to `wait` for changes of the list after a revision.
     fn replicas_after(
         &self,
         after: Revision,
--- a/crates/daemon/src/directory/config_reader.rs
+++ b/crates/daemon/src/directory/config_reader.rs
@@ -1,5 +1,5 @@
-//! Reads and watches what the operators publish, the configuration and the zones that
-//! are to be emptied, for as long as the process lives.
+//! Reads and watches what the operators publish, the configuration and the zone
+//! evacuations, as long as the process runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,96 +17,98 @@
 
 use crate::directory::Directory;
 use crate::directory::DirectoryError;
-use crate::directory::directory_trouble::SOURCE;
-use crate::directory::directory_trouble::Trouble;
-use crate::directory::directory_trouble::end_of;
-use crate::directory::directory_trouble::same_era;
+use crate::directory::outage_tracker::OutageTracker;
+use crate::directory::outage_tracker::SOURCE;
+use crate::directory::outage_tracker::outcome_label;
+use crate::directory::outage_tracker::same_era;
 use crate::directory::skipped_entries::SkippedEntries;
 use crate::gateway::gateway_message::GatewayMessage;
 use crate::gateway::gateway_metrics::GatewayMetrics;
 use crate::gateway::gateway_thread::GatewayHandle;
 use crate::peers::fleet_link::FleetLink;
-use crate::peers::fleet_link::ReadingDuty;
+use crate::peers::fleet_link::ReadDecision;
 use crate::process::clock::Clock;
 
-/// Reads what is published while the rota says so, and tells the others what
-/// changed. Evacuations come with the same calls, since each call has a price.
+/// Reads the published configuration and evacuations while the reader ranking selects this
+/// instance, and reports changes to the peers. The same calls return both, because every call
+/// puts load on the directory.
 pub struct ConfigReader {
-    /// The directory.
+    /// The platform's directory.
     pub directory: Arc<dyn Directory>,
-    /// The decisions.
+    /// The gateway control thread.
     pub control: GatewayHandle,
-    /// The other instances.
+    /// The link to the other instances.
     pub link: Arc<FleetLink>,
-    /// Clocks.
+    /// The clock of this process.
     pub clock: Clock,
-    /// Figures for operators.
+    /// Metrics of the gateway.
     pub metrics: Arc<GatewayMetrics>,
-    /// Logger.
+    /// The logger of the gateway.
     pub log: Logger,
 }
 
 impl ConfigReader {
-    /// Runs for the life of the process.
+    /// Runs until the process ends.
     pub async fn run(self) {
-        let mut trouble = Trouble::new("configuration");
+        let mut outage = OutageTracker::new("configuration");
         let mut skipped = SkippedEntries::default();
         let mut revision: Option<Revision> = None;
         let mut was_reading = false;
         let mut cycle = WatchCycle::default();
         loop {
-            let Some(duty) = self.duty().await else {
+            let Some(decision) = self.read_decision().await else {
                 return;
             };
-            let reads = duty.reason.is_some();
+            let reads = decision.reason.is_some();
             if reads != was_reading {
                 info!(self.log, "reading of the configuration"; "reads" => reads,
-                    "reason" => duty.reason.map(|reason| reason.to_string()),
-                    "version" => duty.version,
-                    "age_ms" => duty.age.map(|age| age.as_millis() as u64));
+                    "reason" => decision.reason.map(|reason| reason.to_string()),
+                    "version" => decision.version,
+                    "age_ms" => decision.age.map(|age| age.as_millis() as u64));
                 was_reading = reads;
             }
             if !reads {
                 revision = None;
-                trouble.left_to_others(&self.log);
+                outage.leave_to_other_readers(&self.log);
                 tokio::time::sleep(READ_CHECK_INTERVAL).await;
                 continue;
             }
             let sent = self.clock.now();
-            // After a failure, a short question tells sooner than a watch whether
-            // the directory is back.
-            let after = revision.filter(|_| !trouble.is_lost());
+            // After a failure, a plain read shows sooner than a watch whether the directory is
+            // available again.
+            let after = revision.filter(|_| !outage.is_unavailable());
             let read = match after {
                 None => self.read_whole(&mut skipped).await,
                 Some(after) => self.watch(after, cycle.next_wait(sent), &mut skipped).await,
             };
-            self.metrics.directory_called("config", end_of(&read));
+            self.metrics
+                .directory_called("config", outcome_label(&read));
             match read {
                 Ok(read) => {
-                    trouble.succeeded(&self.log);
+                    outage.succeeded(&self.log);
                     revision = Some(read.revision);
                     let confirmed_at = cycle.answered(sent, read.quiet_for, self.clock.now());
-                    self.tell(read, confirmed_at);
+                    self.publish(read, confirmed_at);
                 }
                 Err(DirectoryError::HistoryGone) => {
-                    info!(self.log, "history of the directory is gone; reading anew";
+                    info!(self.log, "directory no longer keeps the requested changes; reading all";
                         "of" => "configuration");
                     revision = None;
                     tokio::time::sleep(FIRST_PAUSE).await;
                 }
                 Err(error) => {
-                    self.link.unreadable();
+                    self.link.record_unreadable();
                     let waited = self.clock.now().saturating_sub(sent);
-                    trouble.failed(&self.log, &error, waited).await;
+                    outage.failed(&self.log, &error, waited).await;
                 }
             }
         }
     }
 
-    /// Whether this instance should read; `None` when the process ends.
-    async fn duty(&self) -> Option<ReadingDuty> {
+    /// Returns whether this instance should read; `None` when the process ends.
+    async fn read_decision(&self) -> Option<ReadDecision> {
         let own = self.control.own_state().await?;
-        Some(self.link.config_duty(own.config_version))
+        Some(self.link.config_read_decision(own.config_version))
     }
 
     async fn read_whole(
@@ -150,9 +152,9 @@
         })
     }
 
-    fn tell(&self, read: PublishedRead, confirmed_at: Now) {
-        // First: an instance that has just started calls itself ready with the
-        // configuration, and must know by then where nothing may go.
+    fn publish(&self, read: PublishedRead, confirmed_at: Now) {
+        // The evacuations come first: an instance that has just started becomes ready with its
+        // first configuration and must know the evacuated zones by then.
         self.control.tell(GatewayMessage::Evacuations {
             news: read.evacuations,
             source: SOURCE.to_owned(),
@@ -163,14 +165,14 @@
                 source: SOURCE.to_owned(),
             });
         }
-        self.link.config_read(confirmed_at);
+        self.link.record_config_confirmed(confirmed_at);
     }
 }
 
-/// What a call brought.
+/// Result of one call to the directory.
 struct PublishedRead {
     revision: Revision,
-    /// The wait of a watch that brought nothing.
+    /// Duration of the watch, if it returned no changes.
     quiet_for: Option<Duration>,
     configs: Vec<GatewayConfig>,
     evacuations: EvacuationUpdate,
--- a/crates/daemon/src/directory/list_reader.rs
+++ b/crates/daemon/src/directory/list_reader.rs
@@ -1,5 +1,4 @@
-//! Reads and watches the platform's list of backend servers, for as long as the
-//! process lives.
+//! Reads and watches the platform's list of backend servers, as long as the process runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,50 +14,50 @@
 use crate::directory::Directory;
 use crate::directory::DirectoryError;
 use crate::directory::Listing;
-use crate::directory::directory_trouble::SOURCE;
-use crate::directory::directory_trouble::Trouble;
-use crate::directory::directory_trouble::end_of;
-use crate::directory::directory_trouble::not_older;
-use crate::directory::directory_trouble::same_era;
+use crate::directory::outage_tracker::OutageTracker;
+use crate::directory::outage_tracker::SOURCE;
+use crate::directory::outage_tracker::not_older;
+use crate::directory::outage_tracker::outcome_label;
+use crate::directory::outage_tracker::same_era;
 use crate::directory::skipped_entries::SkippedEntries;
 use crate::gateway::gateway_message::GatewayMessage;
 use crate::gateway::gateway_metrics::GatewayMetrics;
 use crate::gateway::gateway_thread::GatewayHandle;
 use crate::peers::fleet_link::FleetLink;
-use crate::peers::heartbeat::ListNews;
+use crate::peers::heartbeat::ListUpdate;
 use crate::process::clock::Clock;
 
-/// Pause between two watches, in which changes add up to one answer: each call
-/// has a price, and changes have seconds to take effect.
-const BATCH: Duration = Duration::from_millis(100);
+/// Pause between two watches, so that one answer collects several changes. Every call puts load
+/// on the directory, and changes may take seconds to come into effect.
+const WATCH_PAUSE: Duration = Duration::from_millis(100);
 
-/// How long after an outage removals may stem from it; `ReplicaList` draws the
-/// line, this bounds what is told.
-const OUTAGE_SHADOW: Duration = Duration::from_secs(3);
+/// Time after an outage during which updates advertise it, because removals may be caused by
+/// it. `ReplicaList` decides which removals count; this constant only bounds the advertising.
+const OUTAGE_REMOVAL_WINDOW: Duration = Duration::from_secs(3);
 
-/// Reads the list of backend servers while the rota says so, and tells the
-/// others what changed.
+/// Reads the list of backend servers while the reader ranking selects this instance, and
+/// reports changes to the peers.
 pub struct ListReader {
-    /// The directory.
+    /// The platform's directory.
     pub directory: Arc<dyn Directory>,
-    /// The decisions.
+    /// The gateway control thread.
     pub control: GatewayHandle,
-    /// The other instances.
+    /// The link to the other instances.
     pub link: Arc<FleetLink>,
-    /// Clocks.
+    /// The clock of this process.
     pub clock: Clock,
-    /// Figures for operators.
+    /// Metrics of the gateway.
     pub metrics: Arc<GatewayMetrics>,
-    /// Logger.
+    /// The logger of the gateway.
     pub log: Logger,
 }
 
 impl ListReader {
-    /// Runs for the life of the process.
+    /// Runs until the process ends.
     pub async fn run(self) {
-        let mut trouble = Trouble::new("backend servers");
+        let mut outage = OutageTracker::new("backend servers");
         let mut skipped = SkippedEntries::default();
-        let mut forgotten = false;
+        let mut history_gone = false;
         let mut outage_ended: Option<Now> = None;
         let mut was_reading = false;
         let mut cycle = WatchCycle::default();
@@ -66,7 +65,7 @@
             let Some(own) = self.control.own_state().await else {
                 return;
             };
-            let is_lost = self.link.list_is_lost(own.list_revision);
+            let is_lost = self.link.is_directory_list_stale(own.list_revision);
             self.control.tell(GatewayMessage::ListLost { is_lost });
             let reads = self.link.reads_list(own.list_revision);
             if reads != was_reading {
@@ -75,68 +74,68 @@
             }
             if !reads {
                 if !is_lost {
-                    trouble.left_to_others(&self.log);
+                    outage.leave_to_other_readers(&self.log);
                 }
                 tokio::time::sleep(READ_CHECK_INTERVAL).await;
                 continue;
             }
             let after = own.list_revision;
             let sent = self.clock.now();
-            let read = match after.is_none() || forgotten {
+            let read = match after.is_none() || history_gone {
                 true => self.read_whole(after, &mut skipped).await,
                 false => {
                     let wait = cycle.next_wait(sent);
                     self.watch((after, wait), outage_ended, &mut skipped).await
                 }
             };
-            self.metrics.directory_called("list", end_of(&read));
+            self.metrics.directory_called("list", outcome_label(&read));
             match read {
                 Ok(read) => {
-                    forgotten = false;
-                    if trouble.succeeded(&self.log) {
-                        // Before the list: what it lacks may be missing only
-                        // because of the outage.
+                    history_gone = false;
+                    if outage.succeeded(&self.log) {
+                        // Sent before the list: entries may be missing from it only because
+                        // of the outage.
                         self.control.tell(GatewayMessage::OutageEnded);
                         outage_ended = Some(self.clock.now());
                     }
                     let confirmed_at = cycle.answered(sent, read.quiet_for(), self.clock.now());
-                    self.tell(read, confirmed_at);
-                    tokio::time::sleep(BATCH).await;
+                    self.publish(read, confirmed_at);
+                    tokio::time::sleep(WATCH_PAUSE).await;
                 }
                 Err(DirectoryError::HistoryGone) => {
-                    info!(self.log, "history of the directory is gone; reading anew";
+                    info!(self.log, "directory no longer keeps the requested changes; reading all";
                         "of" => "backend servers");
-                    forgotten = true;
+                    history_gone = true;
                     tokio::time::sleep(FIRST_PAUSE).await;
                 }
                 Err(error) => {
-                    self.link.unreadable();
+                    self.link.record_unreadable();
                     let waited = self.clock.now().saturating_sub(sent);
-                    trouble.failed(&self.log, &error, waited).await;
-                    // Removals that are read first belong to the outage.
+                    outage.failed(&self.log, &error, waited).await;
+                    // Removals in the first successful read may be caused by the outage.
                     outage_ended = Some(self.clock.now());
                 }
             }
         }
     }
 
-    fn tell(&self, read: ListRead, confirmed_at: Now) {
+    fn publish(&self, read: ListRead, confirmed_at: Now) {
         match read {
-            ListRead::Same { .. } => self.link.list_read(confirmed_at, None),
+            ListRead::Same { .. } => self.link.record_list_confirmed(confirmed_at, None),
             ListRead::Whole { revision, listing } => {
                 self.control.tell(GatewayMessage::Replicas {
                     revision,
                     listing,
                     source: SOURCE.to_owned(),
                 });
-                self.link.list_read(confirmed_at, None);
+                self.link.record_list_confirmed(confirmed_at, None);
             }
-            ListRead::Changed(news) => {
-                self.control.tell(GatewayMessage::ListNews {
-                    news: news.clone(),
+            ListRead::Changed(update) => {
+                self.control.tell(GatewayMessage::ListUpdate {
+                    news: update.clone(),
                     source: SOURCE.to_owned(),
                 });
-                self.link.list_read(confirmed_at, Some(news));
+                self.link.record_list_confirmed(confirmed_at, Some(update));
             }
         }
     }
@@ -164,13 +163,13 @@
         let read = self.directory.replicas_after(after, wait).await?;
         same_era(read.revision, after)?;
         skipped.note(&self.log, &self.metrics, &read.skipped);
-        // What was left out counts as seen, too.
+        // Skipped entries count as changes, too.
         if read.value.is_empty() && read.skipped.is_empty() {
             return Ok(ListRead::Same { quiet_for: wait });
         }
         let since = outage_ended.map(|at| self.clock.now().saturating_sub(at));
-        let since = since.filter(|since| *since < OUTAGE_SHADOW);
-        Ok(ListRead::Changed(ListNews {
+        let since = since.filter(|since| *since < OUTAGE_REMOVAL_WINDOW);
+        Ok(ListRead::Changed(ListUpdate {
             after,
             revision: read.revision,
             changes: read.value,
@@ -179,13 +178,13 @@
     }
 }
 
-/// What a call about the list brought.
+/// Result of one call about the list.
 enum ListRead {
-    /// Nothing has changed while the watch waited.
+    /// The watch returned no changes after `quiet_for`.
     Same { quiet_for: Duration },
-    /// Some entries have.
-    Changed(ListNews),
-    /// The whole list.
+    /// Some entries have changed.
+    Changed(ListUpdate),
+    /// The full list was read.
     Whole {
         revision: Revision,
         listing: Listing,
--- a/crates/daemon/src/directory/skipped_entries.rs
+++ b/crates/daemon/src/directory/skipped_entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the directory that can't be read: told once for each writing.
+//! Logs directory entries that can't be parsed, once for each write.
 
 use std::collections::BTreeMap;
 
@@ -8,28 +8,29 @@
 use crate::directory::SkippedEntry;
 use crate::gateway::gateway_metrics::GatewayMetrics;
 
-/// Keys remembered; beyond, the oldest in their order are told again.
-const MOST_KEYS: usize = 1_024;
+/// Limit of remembered keys. Above it the first key in sort order is dropped, and its entry is
+/// logged again.
+const MAX_LOGGED_KEYS: usize = 1_024;
 
-/// What one reader has told already.
+/// Entries that one reader has logged, as revisions by key.
 #[derive(Debug, Default)]
 pub struct SkippedEntries {
-    told: BTreeMap<String, u64>,
+    logged: BTreeMap<String, u64>,
 }
 
 impl SkippedEntries {
-    /// Logs and counts the entries that are news.
+    /// Logs and counts the entries that have not been logged before.
     pub fn note(&mut self, log: &Logger, metrics: &GatewayMetrics, entries: &[SkippedEntry]) {
         for entry in entries {
-            let told = self.told.insert(entry.key.clone(), entry.revision);
-            if told == Some(entry.revision) {
+            let logged = self.logged.insert(entry.key.clone(), entry.revision);
+            if logged == Some(entry.revision) {
                 continue;
             }
-            if self.told.len() > MOST_KEYS {
-                self.told.pop_first();
+            if self.logged.len() > MAX_LOGGED_KEYS {
+                self.logged.pop_first();
             }
             metrics.entry_skipped();
-            // Not a warning: whoever else writes there must not flood the logs.
+            // Logged as info, not as a warning: other writers must not be able to flood the logs.
             info!(log, "entry of the directory can't be used";
                 "key" => &entry.key, "revision" => entry.revision, "cause" => &entry.reason);
         }
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -334,7 +334,7 @@
         peers: Arc::new(JsonRpcPeers::new(app.identity.clone(), keyring)),
         metrics: app.metrics.clone(),
         log: app.log.clone(),
-        beat_now: news,
+        heartbeat_now: news,
     };
     let identity = app.identity.clone();
     let link = FleetLink::new(identity, app.settings.clone(), app.clock, ports);
--- a/crates/daemon/src/gateway/gateway_message.rs
+++ b/crates/daemon/src/gateway/gateway_message.rs
@@ -32,7 +32,7 @@
 use tokio::sync::oneshot;
 
 use crate::directory::Listing;
-use crate::peers::heartbeat::ListNews;
+use crate::peers::heartbeat::ListUpdate;
 
 /// What one instance tells the others of itself, several times a second.
 #[derive(Clone, Debug)]
@@ -311,9 +311,9 @@
         source: String,
     },
     /// The list of replicas changed.
-    ListNews {
+    ListUpdate {
         /// The changes.
-        news: ListNews,
+        news: ListUpdate,
         /// Who had them.
         source: String,
     },
--- a/crates/daemon/src/gateway/gateway_thread.rs
+++ b/crates/daemon/src/gateway/gateway_thread.rs
@@ -275,7 +275,7 @@
                 self.tell_era(before, &source);
                 self.list_taken(evacuations);
             }
-            GatewayMessage::ListNews { news, source } => {
+            GatewayMessage::ListUpdate { news, source } => {
                 self.list_news(news, &source);
                 self.tell_stops();
             }
--- a/crates/daemon/src/gateway/gateway_thread/beliefs.rs
+++ b/crates/daemon/src/gateway/gateway_thread/beliefs.rs
@@ -21,7 +21,7 @@
 
 use super::GatewayThread;
 use crate::engines::suspicion_log::log_suspicion;
-use crate::peers::heartbeat::ListNews;
+use crate::peers::heartbeat::ListUpdate;
 
 impl GatewayThread {
     pub(super) fn config(&mut self, config: Arc<GatewayConfig>, source: &str) {
@@ -229,7 +229,7 @@
         self.evacuate(evacuations);
     }
 
-    pub(super) fn list_news(&mut self, news: ListNews, source: &str) {
+    pub(super) fn list_news(&mut self, news: ListUpdate, source: &str) {
         let now = self.clock.now();
         let before = self.control.list().revision();
         if news.revision <= before {
--- a/crates/daemon/src/peers/fleet_link.rs
+++ b/crates/daemon/src/peers/fleet_link.rs
@@ -20,41 +20,41 @@
 use tokio::sync::Notify;
 
 use crate::completion::control_message::Identity;
-use crate::directory::directory_knowledge::DirectoryKnowledge;
+use crate::directory::directory_state::DirectoryState;
 use crate::gateway::gateway_message::OwnState;
 use crate::gateway::gateway_metrics::GatewayMetrics;
 use crate::gateway::gateway_settings::GatewaySettings;
 use crate::gateway::gateway_thread::GatewayHandle;
 use crate::peers::heartbeat::Datagram;
 use crate::peers::heartbeat::Heartbeat;
-use crate::peers::heartbeat::ListNews;
+use crate::peers::heartbeat::ListUpdate;
 use crate::peers::heartbeat::SealedHeartbeat;
 use crate::peers::heartbeat_relay::HeartbeatRelay;
 use crate::peers::peer_port::PeerPort;
 use crate::process::clock::Clock;
 
-mod duty;
 mod fetching;
+mod read_decision;
 mod receiving;
 
-pub use duty::ReadingDuty;
+pub use read_decision::ReadDecision;
 
 /// Time in which news are gathered before a heartbeat tells them.
-const GATHERING: Duration = Duration::from_millis(10);
+const HEARTBEAT_GATHER_TIME: Duration = Duration::from_millis(10);
 
 /// Shortest wait of an instance that has just started and hears of no list from
 /// peers, before it reads by itself: the first heartbeats of a fleet of 300 that
 /// starts at once are answered by then.
-const LEAST_PATIENCE: Duration = Duration::from_millis(250);
+const MIN_FIRST_LIST_READ_DELAY: Duration = Duration::from_millis(250);
 
 /// Longest time on top, drawn by chance, so that a few read when all start at once.
 /// Each call has a price, and a start that is alone must not be late by more than a
 /// second.
-const PATIENCE_SPREAD: Duration = Duration::from_millis(550);
+const FIRST_LIST_READ_JITTER: Duration = Duration::from_millis(550);
 
 /// Span over which the first reads of the configuration are spread: each instance
 /// reads its own at its start, since peers hand on a large one slowly where all start at once.
-const CONFIG_SPREAD: Duration = Duration::from_millis(100);
+const FIRST_CONFIG_READ_JITTER: Duration = Duration::from_millis(100);
 
 /// Configuration version and list revision.
 type Versions = (ConfigVersion, Revision);
@@ -70,7 +70,7 @@
     /// Logger.
     pub log: Logger,
     /// Notified when something should be told at once.
-    pub beat_now: Arc<Notify>,
+    pub heartbeat_now: Arc<Notify>,
 }
 
 /// The link of one instance to the others.
@@ -83,15 +83,15 @@
     metrics: Arc<GatewayMetrics>,
     log: Logger,
     members: Mutex<FleetMembers>,
-    knowledge: Mutex<DirectoryKnowledge>,
+    directory_state: Mutex<DirectoryState>,
     versions: Mutex<Versions>,
     config_lag: Mutex<ConfigLag>,
     /// Highest revision of the evacuations that the decisions were told.
-    evacuations_heard: Mutex<Revision>,
+    applied_evacuations: Mutex<Revision>,
     relay: HeartbeatRelay,
-    beat_now: Arc<Notify>,
-    patient_until: Now,
-    config_from: Now,
+    heartbeat_now: Arc<Notify>,
+    first_list_read_at: Now,
+    first_config_read_at: Now,
 }
 
 impl FleetLink {
@@ -118,14 +118,16 @@
             metrics: ports.metrics,
             log: ports.log,
             members: Mutex::new(members),
-            knowledge: Mutex::new(DirectoryKnowledge::default()),
+            directory_state: Mutex::new(DirectoryState::default()),
             versions: Mutex::new((0, Revision::NONE)),
             config_lag: Mutex::default(),
-            evacuations_heard: Mutex::default(),
+            applied_evacuations: Mutex::default(),
             relay: HeartbeatRelay::default(),
-            beat_now: ports.beat_now,
-            patient_until: clock.now() + LEAST_PATIENCE + PATIENCE_SPREAD.mul_f64(rand::random()),
-            config_from: clock.now() + CONFIG_SPREAD.mul_f64(rand::random()),
+            heartbeat_now: ports.heartbeat_now,
+            first_list_read_at: clock.now()
+                + MIN_FIRST_LIST_READ_DELAY
+                + FIRST_LIST_READ_JITTER.mul_f64(rand::random()),
+            first_config_read_at: clock.now() + FIRST_CONFIG_READ_JITTER.mul_f64(rand::random()),
         })
     }
 
@@ -134,8 +136,8 @@
         locked.unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn knowledge(&self) -> MutexGuard<'_, DirectoryKnowledge> {
-        let locked = self.knowledge.lock();
+    fn directory_state(&self) -> MutexGuard<'_, DirectoryState> {
+        let locked = self.directory_state.lock();
         locked.unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -153,22 +155,23 @@
 
     /// Notes that the platform answered about the list as it was at a moment, with what changed. The
     /// others are told at once: what they know is then as old as one watch at most.
-    pub fn list_read(&self, confirmed_at: Now, news: Option<ListNews>) {
+    pub fn record_list_confirmed(&self, confirmed_at: Now, news: Option<ListUpdate>) {
         let now = self.clock.now();
-        self.knowledge().list_read(now, confirmed_at, news);
-        self.beat_now.notify_one();
+        self.directory_state()
+            .record_list_confirmed(now, confirmed_at, news);
+        self.heartbeat_now.notify_one();
     }
 
     /// Notes that the platform answered about the configuration as it was at a moment, and
     /// tells the others.
-    pub fn config_read(&self, confirmed_at: Now) {
-        self.knowledge().config_read(confirmed_at);
-        self.beat_now.notify_one();
+    pub fn record_config_confirmed(&self, confirmed_at: Now) {
+        self.directory_state().record_config_confirmed(confirmed_at);
+        self.heartbeat_now.notify_one();
     }
 
     /// Notes that the platform can't be read.
-    pub fn unreadable(&self) {
-        self.knowledge().unreadable();
+    pub fn record_unreadable(&self) {
+        self.directory_state().record_unreadable();
     }
 
     /// Sends heartbeats for the life of the process.
@@ -190,7 +193,7 @@
             }
             tokio::select! {
                 () = tokio::time::sleep(interval) => {}
-                () = self.beat_now.notified() => tokio::time::sleep(GATHERING).await,
+                () = self.heartbeat_now.notified() => tokio::time::sleep(HEARTBEAT_GATHER_TIME).await,
             }
         }
     }
@@ -214,12 +217,14 @@
             let mut far = heartbeat.clone();
             // Whoever hears both takes both, the sums last.
             far.sequence += 1;
-            far.news = self.knowledge().news_for_far(self.clock.now());
+            far.news = self
+                .directory_state()
+                .updates_for_remote_zones(self.clock.now());
             self.send_one(socket, self.seal(&far), true, &fan_out.remote_relays)
                 .await;
         }
         heartbeat.digest = None;
-        heartbeat.news = self.knowledge().told_news(self.clock.now());
+        heartbeat.news = self.directory_state().recent_updates(self.clock.now());
         let sealed = self.seal(&heartbeat);
         if let Some(relay) = fan_out.relay {
             self.send_one(socket, sealed.clone(), true, &[relay]).await;
@@ -265,11 +270,11 @@
     fn heartbeat(&self, own: OwnState, sequence: u64) -> Heartbeat {
         let now = self.clock.now();
         let members = self.members();
-        let knowledge = self.knowledge();
+        let state = self.directory_state();
         let heard = members.list_confirmed_at(now, own.list_revision);
-        let list_confirmed_at = knowledge.list_confirmed_at().max(heard);
+        let list_confirmed_at = state.list_confirmed_at().max(heard);
         let heard = members.config_confirmed_at(now, own.config_version);
-        let config_confirmed_at = knowledge.config_confirmed_at().max(heard);
+        let config_confirmed_at = state.config_confirmed_at().max(heard);
         let age_ms = |at: Now| now.saturating_sub(at).as_millis() as u64;
         if let Some(at) = config_confirmed_at {
             self.metrics.config_age(now.saturating_sub(at));
@@ -287,7 +292,7 @@
             config_age_ms: config_confirmed_at.map(age_ms),
             list_revision: own.list_revision,
             list_age_ms: list_confirmed_at.map(age_ms),
-            can_read: knowledge.can_read(),
+            can_read: state.can_read(),
             addresses: members.advertised_addresses(now, &mut rand::rng()),
             shares: own.shares,
             digest: own.digest,
--- a/crates/daemon/src/peers/fleet_link/fetching.rs
+++ b/crates/daemon/src/peers/fleet_link/fetching.rs
@@ -19,37 +19,37 @@
 
 /// Time in which an instance that has just started should have read the
 /// configuration itself; if it can't, it asks a peer.
-const OWN_READ: Duration = Duration::from_millis(400);
+const OWN_READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl FleetLink {
     /// Asks a peer that has been ahead for a while.
-    pub(super) async fn run_fetches(self: Arc<Self>, mut behind: mpsc::Receiver<()>) {
+    pub(super) async fn run_fetcher(self: Arc<Self>, mut behind: mpsc::Receiver<()>) {
         while behind.recv().await.is_some() {
             let Some(before) = self.own_state().await else {
                 return;
             };
-            if self.peer_ahead(&before).is_none() {
+            if self.pick_peer_ahead(&before).is_none() {
                 continue;
             }
             let peers = self.members().newest(self.clock.now());
-            tokio::time::sleep(self.wait_before_fetch(&before)).await;
+            tokio::time::sleep(self.fetch_delay(&before)).await;
             let Some(own) = self.own_state().await else {
                 return;
             };
             let is_stuck = before.versions().is_stuck(&own.versions(), &peers);
-            if let Some((instance, address)) = self.peer_ahead(&own).filter(|_| is_stuck) {
+            if let Some((instance, address)) = self.pick_peer_ahead(&own).filter(|_| is_stuck) {
                 self.fetch(instance, address, &own).await;
             }
         }
     }
 
-    fn wait_before_fetch(&self, own: &OwnState) -> Duration {
+    fn fetch_delay(&self, own: &OwnState) -> Duration {
         let now = self.clock.now();
         let members = self.members();
         if own.list_revision.is_none() {
             Duration::ZERO
         } else if own.config_version == 0 {
-            OWN_READ
+            OWN_READ_TIMEOUT
         } else if members.is_ahead_in_config(now, own.config_version) {
             MAX_FETCH_DELAY.mul_f64(rand::random())
         } else {
@@ -60,7 +60,7 @@
     /// A random one of those that are ahead, so that not all ask the same; where there
     /// are relays, one of this zone and a strong one: a small instance can't hand a
     /// large configuration to many.
-    fn peer_ahead(&self, own: &OwnState) -> Option<(String, SocketAddr)> {
+    fn pick_peer_ahead(&self, own: &OwnState) -> Option<(String, SocketAddr)> {
         let now = self.clock.now();
         let members = self.members();
         let ahead = members.sources(now, own.config_version, own.list_revision);
@@ -71,8 +71,8 @@
 
     /// Version above which a peer should hand over its configuration; none at all
     /// while this instance may still read its first one itself.
-    fn config_wanted_above(&self, own: &OwnState) -> ConfigVersion {
-        let reads_itself = self.clock.now() < self.config_from + OWN_READ;
+    fn config_request_floor(&self, own: &OwnState) -> ConfigVersion {
+        let reads_itself = self.clock.now() < self.first_config_read_at + OWN_READ_TIMEOUT;
         match own.config_version == 0 && reads_itself {
             true => ConfigVersion::MAX,
             false => own.config_version,
@@ -81,7 +81,7 @@
 
     async fn fetch(&self, instance: String, address: SocketAddr, own: &OwnState) {
         let request = PeerRequest::Gateway {
-            config_above: self.config_wanted_above(own),
+            config_above: self.config_request_floor(own),
             list_above: own.list_revision,
         };
         let sent = self.clock.now();
--- a/crates/daemon/src/peers/fleet_link/duty.rs
+++ b/crates/daemon/src/peers/fleet_link/read_decision.rs
@@ -15,7 +15,7 @@
 
 /// Why an instance reads the platform's configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ReadingReason {
+pub enum ReadReason {
     /// It has none yet.
     First,
     /// A peer has had a newer one for too long.
@@ -28,23 +28,23 @@
     Rank,
 }
 
-impl fmt::Display for ReadingReason {
+impl fmt::Display for ReadReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReadingReason::First => "first",
-            ReadingReason::Behind => "behind",
-            ReadingReason::Relay => "relay",
-            ReadingReason::Old => "old",
-            ReadingReason::Rank => "rank",
+            ReadReason::First => "first",
+            ReadReason::Behind => "behind",
+            ReadReason::Relay => "relay",
+            ReadReason::Old => "old",
+            ReadReason::Rank => "rank",
         })
     }
 }
 
 /// Whether an instance should read the platform's configuration, and what that goes by.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingDuty {
+pub struct ReadDecision {
     /// Why it should; `None` if it shouldn't.
-    pub reason: Option<ReadingReason>,
+    pub reason: Option<ReadReason>,
     /// The version in force.
     pub version: ConfigVersion,
     /// How long ago the platform confirmed it, to this instance's knowledge.
@@ -56,49 +56,49 @@
     pub fn reads_list(&self, list_revision: Revision) -> bool {
         let now = self.clock.now();
         let members = self.members();
-        let knowledge = self.knowledge();
+        let state = self.directory_state();
         let heard = members.list_confirmed_at(now, list_revision);
-        let confirmed_at = knowledge.list_confirmed_at().max(heard);
-        let may_begin = !list_revision.is_none() || now >= self.patient_until;
-        may_begin && members.reads_list(now, confirmed_at, knowledge.can_read())
+        let confirmed_at = state.list_confirmed_at().max(heard);
+        let may_begin = !list_revision.is_none() || now >= self.first_list_read_at;
+        may_begin && members.reads_list(now, confirmed_at, state.can_read())
     }
 
     /// Whether nobody has confirmed the list for longer than is usual: engines
     /// may come and go unheard.
-    pub fn list_is_lost(&self, list_revision: Revision) -> bool {
+    pub fn is_directory_list_stale(&self, list_revision: Revision) -> bool {
         let now = self.clock.now();
         let members = self.members();
         let heard = members.list_confirmed_at(now, list_revision);
-        let confirmed_at = self.knowledge().list_confirmed_at().max(heard);
+        let confirmed_at = self.directory_state().list_confirmed_at().max(heard);
         members.is_stale(now, confirmed_at)
     }
 
     /// Whether this instance should watch the platform's configuration: as for
     /// the list, or because no peer hands over the newer one that it has, or because
     /// a relay fetches it for its zone.
-    pub fn config_duty(&self, version: ConfigVersion) -> ReadingDuty {
+    pub fn config_read_decision(&self, version: ConfigVersion) -> ReadDecision {
         let now = self.clock.now();
         let members = self.members();
-        let knowledge = self.knowledge();
+        let state = self.directory_state();
         let heard = members.config_confirmed_at(now, version);
-        let confirmed_at = knowledge.config_confirmed_at().max(heard);
+        let confirmed_at = state.config_confirmed_at().max(heard);
         let is_ahead = members.is_ahead_in_config(now, version);
-        let is_stuck = self.lags_too_long(now, is_ahead, version, &members.waits(now));
+        let is_stuck = self.is_config_overdue(now, is_ahead, version, &members.waits(now));
         let reason = if version == 0 {
-            (now >= self.config_from).then_some(ReadingReason::First)
+            (now >= self.first_config_read_at).then_some(ReadReason::First)
         } else if is_stuck {
-            Some(ReadingReason::Behind)
+            Some(ReadReason::Behind)
         } else if is_ahead && members.is_relay(now) {
-            Some(ReadingReason::Relay)
-        } else if members.reads(now, confirmed_at, knowledge.can_read()) {
+            Some(ReadReason::Relay)
+        } else if members.reads(now, confirmed_at, state.can_read()) {
             Some(match members.is_old(now, confirmed_at) {
-                true => ReadingReason::Old,
-                false => ReadingReason::Rank,
+                true => ReadReason::Old,
+                false => ReadReason::Rank,
             })
         } else {
             None
         };
-        ReadingDuty {
+        ReadDecision {
             reason,
             version,
             age: confirmed_at.map(|at| now.saturating_sub(at)),
@@ -106,7 +106,7 @@
     }
 
     /// Notes whether a peer has a newer configuration than this one.
-    fn lags_too_long(
+    fn is_config_overdue(
         &self,
         now: Now,
         is_behind: bool,
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -22,7 +22,7 @@
 use crate::peers::heartbeat::Datagram;
 use crate::peers::heartbeat::Heartbeat;
 use crate::peers::heartbeat::HeartbeatFault;
-use crate::peers::heartbeat::ListNews;
+use crate::peers::heartbeat::ListUpdate;
 use crate::peers::heartbeat::SealedHeartbeat;
 
 impl FleetLink {
@@ -30,20 +30,20 @@
     pub async fn run_receiver(self: Arc<Self>, socket: Arc<UdpSocket>) {
         let mut buffer = vec![0_u8; 1 << 16];
         let (behind, behind_out) = mpsc::channel(1);
-        tokio::spawn(self.clone().run_fetches(behind_out));
+        tokio::spawn(self.clone().run_fetcher(behind_out));
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
                 // An earlier datagram met a closed port; that peer is gone.
                 continue;
             };
             match Datagram::decode(&buffer[..length]) {
-                Ok(datagram) => self.take_datagram(from, datagram, &behind),
+                Ok(datagram) => self.apply_datagram(from, datagram, &behind),
                 Err(fault) => self.refuse(from, fault),
             }
         }
     }
 
-    fn take_datagram(&self, from: SocketAddr, datagram: Datagram, behind: &mpsc::Sender<()>) {
+    fn apply_datagram(&self, from: SocketAddr, datagram: Datagram, behind: &mpsc::Sender<()>) {
         for sealed in datagram.heartbeats {
             match sealed.open(&self.settings.keyring) {
                 Ok(heartbeat) if heartbeat.instance == self.identity.instance => {}
@@ -53,7 +53,7 @@
                         let _ = behind.try_send(());
                     }
                     let is_new = self.take(from, heartbeat);
-                    self.count_heartbeat(is_new);
+                    self.count_received_heartbeat(is_new);
                     if is_new && datagram.pass_on {
                         self.pass_on(sealed);
                     }
@@ -63,7 +63,7 @@
         }
     }
 
-    fn count_heartbeat(&self, is_new: bool) {
+    fn count_received_heartbeat(&self, is_new: bool) {
         self.metrics.heartbeat(match is_new {
             true => "taken",
             false => "old",
@@ -119,7 +119,7 @@
         let is_direct = from == heartbeat.address;
         if arrival == Arrival::FirstOfIncarnation && is_direct {
             members.queue_immediate_heartbeat(heartbeat.address);
-            self.beat_now.notify_one();
+            self.heartbeat_now.notify_one();
         }
         let follows = members.counts_individually(&heartbeat.zone);
         let is_relay = !heartbeat.news.is_empty() && members.is_relay(now);
@@ -131,7 +131,7 @@
                 "peer" => &heartbeat.instance, "incarnation" => &heartbeat.incarnation,
                 "directly" => is_direct, "config_version" => heartbeat.config_version);
         }
-        self.take_evacuations(heartbeat.evacuations, &heartbeat.instance);
+        self.apply_peer_evacuations(heartbeat.evacuations, &heartbeat.instance);
         for news in heartbeat.news {
             self.take_news(news.aged(delay), &heartbeat.instance, is_relay);
         }
@@ -174,9 +174,9 @@
     }
 
     /// Most heartbeats bring nothing new; the decisions are not bothered with those.
-    fn take_evacuations(&self, told: AdvertisedEvacuations, source: &str) {
+    fn apply_peer_evacuations(&self, told: AdvertisedEvacuations, source: &str) {
         let is_news = {
-            let heard = self.evacuations_heard.lock();
+            let heard = self.applied_evacuations.lock();
             let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
             let is_news = told.revision > *heard;
             *heard = told.revision.max(*heard);
@@ -192,11 +192,15 @@
 
     /// A relay tells the other zones what it hears: theirs may not read the
     /// platform just now.
-    fn take_news(&self, news: ListNews, source: &str, is_relay: bool) {
-        if is_relay && self.knowledge().list_heard(self.clock.now(), &news) {
-            self.beat_now.notify_one();
+    fn take_news(&self, news: ListUpdate, source: &str, is_relay: bool) {
+        if is_relay
+            && self
+                .directory_state()
+                .record_peer_update(self.clock.now(), &news)
+        {
+            self.heartbeat_now.notify_one();
         }
-        self.control.tell(GatewayMessage::ListNews {
+        self.control.tell(GatewayMessage::ListUpdate {
             news,
             source: source.to_owned(),
         });
--- a/crates/daemon/src/peers/heartbeat.rs
+++ b/crates/daemon/src/peers/heartbeat.rs
@@ -25,7 +25,7 @@
 
 /// Changes of the list from one revision to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ListNews {
+pub struct ListUpdate {
     /// Revision before the changes.
     pub after: Revision,
     /// Revision after them.
@@ -37,7 +37,7 @@
     pub outage_ended_ms: Option<u64>,
 }
 
-impl ListNews {
+impl ListUpdate {
     /// The changes in short, for logs: what is written is a decision about each
     /// server.
     pub fn summary(&self) -> String {
@@ -51,7 +51,7 @@
     }
 
     /// The same changes, told a while after they were read.
-    pub fn aged(&self, age: Duration) -> ListNews {
+    pub fn aged(&self, age: Duration) -> ListUpdate {
         let mut news = self.clone();
         let age_ms = age.as_millis() as u64;
         news.outage_ended_ms = news.outage_ended_ms.map(|ended_ms| ended_ms + age_ms);
@@ -105,7 +105,7 @@
     /// Contents of requests that it suspects to end backend servers.
     pub suspects: Vec<AdvertisedSuspect>,
     /// The latest changes of the list.
-    pub news: Vec<ListNews>,
+    pub news: Vec<ListUpdate>,
 }
 
 /// Why a datagram changes nothing.
--- a/crates/daemon/src/peers/heartbeat_relay.rs
+++ b/crates/daemon/src/peers/heartbeat_relay.rs
@@ -10,11 +10,11 @@
 
 /// Bytes of heartbeats in one datagram, about: far below the limit of UDP, and
 /// small enough to delay no stream on a slow link.
-const BUNDLE_BYTES: usize = 12_000;
+const MAX_BUNDLE_BYTES: usize = 12_000;
 
 /// Heartbeats that wait at most: several hundred instances within one bundle's
 /// time. The oldest go first; their senders tell the same again.
-const MOST_WAITING: usize = 2_000;
+const MAX_WAITING_HEARTBEATS: usize = 2_000;
 
 /// What waits to be passed on.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     /// Takes a heartbeat that is new here.
     pub fn push(&self, heartbeat: SealedHeartbeat) {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.len() >= MOST_WAITING {
+        if waiting.len() >= MAX_WAITING_HEARTBEATS {
             waiting.remove(0);
         }
         waiting.push(heartbeat);
@@ -53,7 +53,7 @@
                     bundle.push(heartbeat);
                 }
                 None => {
-                    room = BUNDLE_BYTES.saturating_sub(size);
+                    room = MAX_BUNDLE_BYTES.saturating_sub(size);
                     bundles.push(vec![heartbeat]);
                 }
             }
--- a/crates/daemon/src/peers/peer_answers.rs
+++ b/crates/daemon/src/peers/peer_answers.rs
@@ -15,9 +15,9 @@
 use crate::completion::control_message::Versions;
 use crate::completion::service_call;
 use crate::peers::packed::Packed;
-use crate::peers::peer_message::News;
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
+use crate::peers::peer_message::PeerUpdate;
 use crate::peers::peer_message::PeerVersions;
 use crate::peers::peer_server::PeerAnswers;
 use crate::platform::platform_reader::offered;
@@ -37,7 +37,7 @@
         match request {
             PeerRequest::Exchange(versions) => self.exchange(from, versions).await,
             PeerRequest::Offer(news) => {
-                tell_news(&self.app, &from, news);
+                apply_peer_update(&self.app, &from, news);
                 Some(PeerReply::Taken)
             }
             PeerRequest::RunCall(call) => {
@@ -64,10 +64,10 @@
             .control
             .ask(|reply| ControlMessage::Versions { reply })
             .await?;
-        tell_versions(app, from, &theirs);
+        apply_peer_versions(app, from, &theirs);
         Some(PeerReply::Exchange {
             versions: versions_of(&app.identity, &own),
-            news: news_for(app, &own, &theirs).await,
+            news: update_for(app, &own, &theirs).await,
         })
     }
 }
@@ -79,17 +79,17 @@
 }
 
 /// What this process has and a peer lacks.
-pub async fn news_for(app: &App, own: &Versions, theirs: &PeerVersions) -> News {
+pub async fn update_for(app: &App, own: &Versions, theirs: &PeerVersions) -> PeerUpdate {
     let instances = match theirs.roster_version < own.roster_version {
         true => instances_of(app, own.roster_version).await,
         false => None,
     };
     let config = config_for(own, theirs.config_version);
-    News { config, instances }
+    PeerUpdate { config, instances }
 }
 
 /// Tells the decisions what a peer has sent.
-pub fn tell_news(app: &App, source: &str, news: News) {
+pub fn apply_peer_update(app: &App, source: &str, news: PeerUpdate) {
     if let Some(instances) = news.instances {
         app.control.tell(Event::InstanceListOffered {
             version: instances.version,
@@ -108,7 +108,7 @@
 }
 
 /// Tells the decisions what a peer has.
-pub fn tell_versions(app: &App, instance: InstanceId, versions: &PeerVersions) {
+pub fn apply_peer_versions(app: &App, instance: InstanceId, versions: &PeerVersions) {
     app.control.tell(Event::PeerMessageReceived {
         instance,
         incarnation: versions.incarnation.clone(),
--- a/crates/daemon/src/peers/peer_exchanger.rs
+++ b/crates/daemon/src/peers/peer_exchanger.rs
@@ -10,22 +10,22 @@
 use crate::completion::control_message::ControlMessage;
 use crate::completion::control_message::Versions;
 use crate::completion::control_thread::ExchangeTarget;
-use crate::peers::peer_answers::news_for;
-use crate::peers::peer_answers::tell_news;
-use crate::peers::peer_answers::tell_versions;
+use crate::peers::peer_answers::apply_peer_update;
+use crate::peers::peer_answers::apply_peer_versions;
+use crate::peers::peer_answers::update_for;
 use crate::peers::peer_answers::versions_of;
-use crate::peers::peer_message::News;
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
+use crate::peers::peer_message::PeerUpdate;
 
 /// Longest wait for a peer's versions.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Exchanges under way at once; more wait for these.
-const MAX_UNDER_WAY: usize = 16;
+const MAX_CONCURRENT_EXCHANGES: usize = 16;
 
 /// Time between two rounds of asking the seed peers.
-const SEED_INTERVAL: Duration = Duration::from_secs(1);
+const SEED_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Asks the peers of the settings until a configuration and a list are there.
 pub async fn run_seeds(app: Arc<App>) {
@@ -33,7 +33,7 @@
         for seed in &app.settings.seed_peers {
             exchange(&app, (seed.instance.clone(), seed.address)).await;
         }
-        tokio::time::sleep(SEED_INTERVAL).await;
+        tokio::time::sleep(SEED_EXCHANGE_INTERVAL).await;
         let ask = |reply| ControlMessage::Versions { reply };
         let versions = app.control.ask(ask).await;
         let is_complete = |own: &Versions| own.config_version > 0 && own.roster_version > 0;
@@ -45,7 +45,7 @@
 
 /// Runs for the life of the process.
 pub async fn run_exchanges(app: Arc<App>, mut targets: mpsc::UnboundedReceiver<ExchangeTarget>) {
-    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_UNDER_WAY));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_EXCHANGES));
     while let Some(target) = targets.recv().await {
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
@@ -69,11 +69,11 @@
     let answer = app.peers.ask(instance.clone(), address, request, TIMEOUT);
     match answer.await {
         Ok(PeerReply::Exchange { versions, news }) => {
-            tell_news(app, &instance, news);
-            let lacking = news_for(app, &own, &versions).await;
+            apply_peer_update(app, &instance, news);
+            let lacking = update_for(app, &own, &versions).await;
             debug!(app.log, "exchanged"; "peer" => &instance, "own" => own.config_version,
                 "theirs" => versions.config_version, "offers" => !lacking.is_empty());
-            tell_versions(app, instance.clone(), &versions);
+            apply_peer_versions(app, instance.clone(), &versions);
             if !lacking.is_empty() {
                 offer(app, (instance, address), lacking).await;
             }
@@ -83,7 +83,7 @@
     }
 }
 
-async fn offer(app: &App, (instance, address): ExchangeTarget, news: News) {
+async fn offer(app: &App, (instance, address): ExchangeTarget, news: PeerUpdate) {
     let request = PeerRequest::Offer(news);
     let answer = app.peers.ask(instance, address, request, TIMEOUT);
     if let Err(error) = answer.await {
--- a/crates/daemon/src/peers/peer_message.rs
+++ b/crates/daemon/src/peers/peer_message.rs
@@ -95,14 +95,14 @@
 
 /// What one process has and another lacks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct News {
+pub struct PeerUpdate {
     /// The configuration, if the other's is older.
     pub config: Option<ConfigReply>,
     /// The instance list, if the other's is older.
     pub instances: Option<InstancesReply>,
 }
 
-impl News {
+impl PeerUpdate {
     /// Whether the other lacks nothing.
     pub fn is_empty(&self) -> bool {
         self.config.is_none() && self.instances.is_none()
@@ -116,7 +116,7 @@
     /// Compare versions; whoever is behind gets what is newer.
     Exchange(PeerVersions),
     /// Here is what an exchange has shown the receiver to lack.
-    Offer(News),
+    Offer(PeerUpdate),
     /// Run a call whose ticket names the receiver.
     RunCall(ForwardedCall),
     /// Send what the platform has published, if it is newer than this.
@@ -144,7 +144,7 @@
         /// Versions of the receiver.
         versions: PeerVersions,
         /// What the asker lacks.
-        news: News,
+        news: PeerUpdate,
     },
     /// The offer was looked at.
     Taken,
