--- a/crates/daemon/src/directory/list_reader.rs
+++ b/crates/daemon/src/directory/list_reader.rs
@@ -69,7 +69,7 @@
             self.control.tell(GatewayMessage::ListLost { is_lost });
             let reads = self.link.reads_list(own.list_revision);
             if reads != was_reading {
-                info!(self.log, "reading of the list"; "reads" => reads);
+                info!(self.log, "reading of the list of backend servers"; "reads" => reads);
                 was_reading = reads;
             }
             if !reads {
--- a/crates/daemon/src/directory/outage_tracker.rs
+++ b/crates/daemon/src/directory/outage_tracker.rs
@@ -102,7 +102,7 @@
 /// Checks that an answer is not of an earlier era than the known revision. Such an answer was
 /// in flight when the directory was restored, or it lacks the name of its era. It counts as
 /// invalid, so that the call is repeated only after a pause: the control thread would reject the
-/// answer, and an immediate retry would go on without end.
+/// answer, and immediate retries would go on without end.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other.
+//! Communication between instances: heartbeats over UDP, and signed requests over JSON-RPC.
 
 pub(crate) mod fleet_link;
 pub(crate) mod heartbeat;
--- a/crates/daemon/src/peers/fleet_link.rs
+++ b/crates/daemon/src/peers/fleet_link.rs
@@ -1,5 +1,5 @@
-//! The link of one instance to the others: sends heartbeats, hears those of the
-//! others, and fetches from peers what they have and this instance lacks.
+//! The link of one instance to the others: sends and receives heartbeats, and fetches newer
+//! state from peers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,37 +39,37 @@
 
 pub use read_decision::ReadDecision;
 
-/// Time in which news are gathered before a heartbeat tells them.
+/// Time for which updates are collected before an immediate heartbeat advertises them.
 const HEARTBEAT_GATHER_TIME: Duration = Duration::from_millis(10);
 
-/// Shortest wait of an instance that has just started and hears of no list from
-/// peers, before it reads by itself: the first heartbeats of a fleet of 300 that
-/// starts at once are answered by then.
+/// Minimum time after its start that an instance waits for a list from peers before it reads the
+/// list itself: by then the first heartbeats are answered, even if a fleet of 300 instances
+/// starts at once.
 const MIN_FIRST_LIST_READ_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest time on top, drawn by chance, so that a few read when all start at once.
-/// Each call has a price, and a start that is alone must not be late by more than a
-/// second.
+/// Maximum random addition to this wait, so that only a few instances read when all start at
+/// once: every call puts load on the directory. The sum stays below one second, because an
+/// instance that starts alone must not be delayed by more.
 const FIRST_LIST_READ_JITTER: Duration = Duration::from_millis(550);
 
-/// Span over which the first reads of the configuration are spread: each instance
-/// reads its own at its start, since peers hand on a large one slowly where all start at once.
+/// Time over which the first reads of the configuration are spread. Every instance reads it itself
+/// at its start, because peers pass on a large configuration slowly if all start at once.
 const FIRST_CONFIG_READ_JITTER: Duration = Duration::from_millis(100);
 
 /// Configuration version and list revision.
 type Versions = (ConfigVersion, Revision);
 
-/// What the link works with.
+/// Connections of the link to the other parts of the process.
 pub struct FleetPorts {
-    /// The decisions.
+    /// The gateway control thread.
     pub control: GatewayHandle,
-    /// Asks peers.
+    /// Sends requests to peers.
     pub peers: Arc<dyn PeerPort>,
-    /// Figures for operators.
+    /// Metrics of the gateway.
     pub metrics: Arc<GatewayMetrics>,
-    /// Logger.
+    /// The logger of the gateway.
     pub log: Logger,
-    /// Notified when something should be told at once.
+    /// Notified when a heartbeat should be sent at once.
     pub heartbeat_now: Arc<Notify>,
 }
 
@@ -86,7 +86,7 @@
     directory_state: Mutex<DirectoryState>,
     versions: Mutex<Versions>,
     config_lag: Mutex<ConfigLag>,
-    /// Highest revision of the evacuations that the decisions were told.
+    /// Highest revision of evacuations from peers that was passed to the control thread.
     applied_evacuations: Mutex<Revision>,
     relay: HeartbeatRelay,
     heartbeat_now: Arc<Notify>,
@@ -95,7 +95,7 @@
 }
 
 impl FleetLink {
-    /// A link that knows the seeds only.
+    /// Creates a link that knows only the seed peers.
     pub fn new(
         identity: Identity,
         settings: GatewaySettings,
@@ -146,35 +146,36 @@
         locked.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this instance knows; notes the versions for the receiver.
+    /// Returns the state of this instance, and records its versions for the receiver.
     async fn own_state(&self) -> Option<OwnState> {
         let own = self.control.own_state().await?;
         *self.versions() = (own.config_version, own.list_revision);
         Some(own)
     }
 
-    /// Notes that the platform answered about the list as it was at a moment, with what changed. The
-    /// others are told at once: what they know is then as old as one watch at most.
-    pub fn record_list_confirmed(&self, confirmed_at: Now, news: Option<ListUpdate>) {
+    /// Records that the platform answered about the list as of `confirmed_at`, with the changes
+    /// that it returned. Triggers an immediate heartbeat, so that the state of the peers is at
+    /// most as old as one watch.
+    pub fn record_list_confirmed(&self, confirmed_at: Now, update: Option<ListUpdate>) {
         let now = self.clock.now();
         self.directory_state()
-            .record_list_confirmed(now, confirmed_at, news);
+            .record_list_confirmed(now, confirmed_at, update);
         self.heartbeat_now.notify_one();
     }
 
-    /// Notes that the platform answered about the configuration as it was at a moment, and
-    /// tells the others.
+    /// Records that the platform answered about the configuration as of `confirmed_at`, and
+    /// triggers an immediate heartbeat.
     pub fn record_config_confirmed(&self, confirmed_at: Now) {
         self.directory_state().record_config_confirmed(confirmed_at);
         self.heartbeat_now.notify_one();
     }
 
-    /// Notes that the platform can't be read.
+    /// Records that a call to the platform failed.
     pub fn record_unreadable(&self) {
         self.directory_state().record_unreadable();
     }
 
-    /// Sends heartbeats for the life of the process.
+    /// Sends heartbeats until the process ends.
     pub async fn run_sender(self: Arc<Self>, socket: Arc<UdpSocket>) {
         let mut sequence = 0;
         loop {
@@ -185,10 +186,10 @@
             };
             *self.versions() = (own.config_version, own.list_revision);
             sequence += 2;
-            let summed = own.digest.as_ref().map(|digest| digest.shares.len());
+            let sum_count = own.digest.as_ref().map(|digest| digest.shares.len());
             self.send(&socket, own, sequence, fan_out).await;
             let mut interval = self.members().heartbeat_interval(self.clock.now());
-            if let Some(sums) = summed {
+            if let Some(sums) = sum_count {
                 interval = interval.min(FleetMembers::relay_heartbeat_interval(sums));
             }
             tokio::select! {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Passes heartbeats on within the zone for the life of the process.
+    /// Forwards heartbeats within the zone until the process ends.
     pub async fn run_relay(self: Arc<Self>, socket: Arc<UdpSocket>) {
         loop {
             self.relay.arrival().await;
@@ -214,13 +215,13 @@
     async fn send(&self, socket: &UdpSocket, own: OwnState, sequence: u64, fan_out: FanOut) {
         let mut heartbeat = self.heartbeat(own, sequence);
         if !fan_out.remote_relays.is_empty() {
-            let mut far = heartbeat.clone();
-            // Whoever hears both takes both, the sums last.
-            far.sequence += 1;
-            far.news = self
+            let mut remote = heartbeat.clone();
+            // An instance that receives both heartbeats applies both, the sums last.
+            remote.sequence += 1;
+            remote.news = self
                 .directory_state()
                 .updates_for_remote_zones(self.clock.now());
-            self.send_one(socket, self.seal(&far), true, &fan_out.remote_relays)
+            self.send_one(socket, self.seal(&remote), true, &fan_out.remote_relays)
                 .await;
         }
         heartbeat.digest = None;
@@ -266,15 +267,15 @@
         send_to_all(socket, &datagram, targets).await;
     }
 
-    /// A heartbeat without changes of the list.
+    /// Returns a heartbeat without list updates.
     fn heartbeat(&self, own: OwnState, sequence: u64) -> Heartbeat {
         let now = self.clock.now();
         let members = self.members();
         let state = self.directory_state();
-        let heard = members.list_confirmed_at(now, own.list_revision);
-        let list_confirmed_at = state.list_confirmed_at().max(heard);
-        let heard = members.config_confirmed_at(now, own.config_version);
-        let config_confirmed_at = state.config_confirmed_at().max(heard);
+        let peer_confirmed_at = members.list_confirmed_at(now, own.list_revision);
+        let list_confirmed_at = state.list_confirmed_at().max(peer_confirmed_at);
+        let peer_confirmed_at = members.config_confirmed_at(now, own.config_version);
+        let config_confirmed_at = state.config_confirmed_at().max(peer_confirmed_at);
         let age_ms = |at: Now| now.saturating_sub(at).as_millis() as u64;
         if let Some(at) = config_confirmed_at {
             self.metrics.config_age(now.saturating_sub(at));
@@ -306,7 +307,8 @@
     }
 }
 
-/// A lost datagram is followed by the next one.
+/// Sends a datagram to all targets. Errors are ignored, because the next heartbeat repeats the
+/// state.
 async fn send_to_all(socket: &UdpSocket, datagram: &[u8], targets: &[SocketAddr]) {
     for target in targets {
         let _ = socket.send_to(datagram, target).await;
--- a/crates/daemon/src/peers/fleet_link/fetching.rs
+++ b/crates/daemon/src/peers/fleet_link/fetching.rs
@@ -1,4 +1,4 @@
-//! Fetches from peers what they have and this instance lacks.
+//! Fetches a newer configuration or list of backend servers from a peer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,14 +17,15 @@
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
 
-/// Time in which an instance that has just started should have read the
-/// configuration itself; if it can't, it asks a peer.
+/// Time within which an instance that has just started should have read the configuration itself.
+/// After it the instance requests the configuration from a peer.
 const OWN_READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 impl FleetLink {
-    /// Asks a peer that has been ahead for a while.
-    pub(super) async fn run_fetcher(self: Arc<Self>, mut behind: mpsc::Receiver<()>) {
-        while behind.recv().await.is_some() {
+    /// Fetches from a peer that has had newer state for a while; checked on each message of
+    /// `triggers`.
+    pub(super) async fn run_fetcher(self: Arc<Self>, mut triggers: mpsc::Receiver<()>) {
+        while triggers.recv().await.is_some() {
             let Some(before) = self.own_state().await else {
                 return;
             };
@@ -43,6 +44,7 @@
         }
     }
 
+    /// Returns the wait before a fetch, in which the state usually arrives by other means.
     fn fetch_delay(&self, own: &OwnState) -> Duration {
         let now = self.clock.now();
         let members = self.members();
@@ -57,20 +59,20 @@
         }
     }
 
-    /// A random one of those that are ahead, so that not all ask the same; where there
-    /// are relays, one of this zone and a strong one: a small instance can't hand a
-    /// large configuration to many.
+    /// Returns a random peer that has newer state, so that requests are spread over the peers.
+    /// With relays, it is one of this zone with a high processor capacity, because a small
+    /// instance can't send a large configuration to many others.
     fn pick_peer_ahead(&self, own: &OwnState) -> Option<(String, SocketAddr)> {
         let now = self.clock.now();
         let members = self.members();
         let ahead = members.sources(now, own.config_version, own.list_revision);
-        let place = rand::random_range(0..ahead.len().max(1));
-        let (address, state) = ahead.get(place)?;
+        let index = rand::random_range(0..ahead.len().max(1));
+        let (address, state) = ahead.get(index)?;
         Some((state.instance.clone(), *address))
     }
 
-    /// Version above which a peer should hand over its configuration; none at all
-    /// while this instance may still read its first one itself.
+    /// Returns the version above which a peer should send its configuration: the highest possible
+    /// one, so that none is sent, while this instance may still read its first one itself.
     fn config_request_floor(&self, own: &OwnState) -> ConfigVersion {
         let reads_itself = self.clock.now() < self.first_config_read_at + OWN_READ_TIMEOUT;
         match own.config_version == 0 && reads_itself {
@@ -108,7 +110,9 @@
                     });
                 }
             }
-            Ok(_) => warn!(self.log, "peer answered something else"; "peer" => instance),
+            Ok(_) => {
+                warn!(self.log, "peer answered a fetch with another reply"; "peer" => instance)
+            }
             Err(error) => info!(self.log, "peer can't be asked";
                 "peer" => instance, "cause" => error.to_string(), "waited_ms" => waited_ms),
         }
--- a/crates/daemon/src/peers/fleet_link/read_decision.rs
+++ b/crates/daemon/src/peers/fleet_link/read_decision.rs
@@ -1,4 +1,4 @@
-//! Whether this instance should read the platform's directory, and why.
+//! Decides whether this instance should read the platform's directory, and why.
 
 use std::fmt;
 use std::sync::PoisonError;
@@ -13,18 +13,18 @@
 
 use super::FleetLink;
 
-/// Why an instance reads the platform's configuration.
+/// Reason why an instance reads the platform's configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadReason {
-    /// It has none yet.
+    /// The instance has no configuration yet.
     First,
-    /// A peer has had a newer one for too long.
+    /// A peer has had a newer configuration for too long.
     Behind,
-    /// A peer has a newer one, and it relays for its zone.
+    /// A peer has a newer configuration, and the instance is a relay of its zone.
     Relay,
-    /// Nobody has confirmed it for too long.
+    /// No instance has confirmed the configuration for too long.
     Old,
-    /// It reads for its zone.
+    /// The rank of the instance makes it a reader of its zone.
     Rank,
 }
 
@@ -40,48 +40,51 @@
     }
 }
 
-/// Whether an instance should read the platform's configuration, and what that goes by.
+/// Decision whether an instance should read the platform's configuration, with its inputs.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadDecision {
-    /// Why it should; `None` if it shouldn't.
+    /// Reason to read; `None` if the instance should not read.
     pub reason: Option<ReadReason>,
-    /// The version in force.
+    /// Version of the configuration in force.
     pub version: ConfigVersion,
-    /// How long ago the platform confirmed it, to this instance's knowledge.
+    /// Time since the platform confirmed it, as far as this instance knows.
     pub age: Option<Duration>,
 }
 
 impl FleetLink {
-    /// Whether this instance should watch the platform's list.
+    /// Returns whether this instance should watch the platform's list of backend servers.
     pub fn reads_list(&self, list_revision: Revision) -> bool {
         let now = self.clock.now();
         let members = self.members();
         let state = self.directory_state();
-        let heard = members.list_confirmed_at(now, list_revision);
-        let confirmed_at = state.list_confirmed_at().max(heard);
-        let may_begin = !list_revision.is_none() || now >= self.first_list_read_at;
-        may_begin && members.reads_list(now, confirmed_at, state.can_read())
+        let peer_confirmed_at = members.list_confirmed_at(now, list_revision);
+        let confirmed_at = state.list_confirmed_at().max(peer_confirmed_at);
+        let may_start = !list_revision.is_none() || now >= self.first_list_read_at;
+        may_start && members.reads_list(now, confirmed_at, state.can_read())
     }
 
-    /// Whether nobody has confirmed the list for longer than is usual: engines
-    /// may come and go unheard.
+    /// Returns whether no instance has confirmed the list for longer than usual, so that engines
+    /// may come and go unnoticed.
     pub fn is_directory_list_stale(&self, list_revision: Revision) -> bool {
         let now = self.clock.now();
         let members = self.members();
-        let heard = members.list_confirmed_at(now, list_revision);
-        let confirmed_at = self.directory_state().list_confirmed_at().max(heard);
+        let peer_confirmed_at = members.list_confirmed_at(now, list_revision);
+        let confirmed_at = self
+            .directory_state()
+            .list_confirmed_at()
+            .max(peer_confirmed_at);
         members.is_stale(now, confirmed_at)
     }
 
-    /// Whether this instance should watch the platform's configuration: as for
-    /// the list, or because no peer hands over the newer one that it has, or because
-    /// a relay fetches it for its zone.
+    /// Decides whether this instance should watch the platform's configuration: for the same
+    /// reasons as the list, or because no peer hands over the newer configuration that it has, or
+    /// because this instance is a relay and fetches the newer configuration for its zone.
     pub fn config_read_decision(&self, version: ConfigVersion) -> ReadDecision {
         let now = self.clock.now();
         let members = self.members();
         let state = self.directory_state();
-        let heard = members.config_confirmed_at(now, version);
-        let confirmed_at = state.config_confirmed_at().max(heard);
+        let peer_confirmed_at = members.config_confirmed_at(now, version);
+        let confirmed_at = state.config_confirmed_at().max(peer_confirmed_at);
         let is_ahead = members.is_ahead_in_config(now, version);
         let is_stuck = self.is_config_overdue(now, is_ahead, version, &members.waits(now));
         let reason = if version == 0 {
@@ -105,7 +108,8 @@
         }
     }
 
-    /// Notes whether a peer has a newer configuration than this one.
+    /// Records whether a peer has a newer configuration; returns whether it has had one for too
+    /// long.
     fn is_config_overdue(
         &self,
         now: Now,
--- a/crates/daemon/src/peers/fleet_link/receiving.rs
+++ b/crates/daemon/src/peers/fleet_link/receiving.rs
@@ -1,5 +1,4 @@
-//! Hears the heartbeats of the others, and passes them on where this instance is a
-//! relay.
+//! Receives the heartbeats of the other instances, and forwards them if this instance is a relay.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,39 +25,44 @@
 use crate::peers::heartbeat::SealedHeartbeat;
 
 impl FleetLink {
-    /// Receives heartbeats for the life of the process.
+    /// Receives heartbeats until the process ends.
     pub async fn run_receiver(self: Arc<Self>, socket: Arc<UdpSocket>) {
         let mut buffer = vec![0_u8; 1 << 16];
-        let (behind, behind_out) = mpsc::channel(1);
-        tokio::spawn(self.clone().run_fetcher(behind_out));
+        let (trigger_fetch, fetch_triggers) = mpsc::channel(1);
+        tokio::spawn(self.clone().run_fetcher(fetch_triggers));
         loop {
             let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-                // An earlier datagram met a closed port; that peer is gone.
+                // The error is of an earlier datagram to a closed port: that peer has stopped.
                 continue;
             };
             match Datagram::decode(&buffer[..length]) {
-                Ok(datagram) => self.apply_datagram(from, datagram, &behind),
-                Err(fault) => self.refuse(from, fault),
+                Ok(datagram) => self.apply_datagram(from, datagram, &trigger_fetch),
+                Err(fault) => self.reject(from, fault),
             }
         }
     }
 
-    fn apply_datagram(&self, from: SocketAddr, datagram: Datagram, behind: &mpsc::Sender<()>) {
+    fn apply_datagram(
+        &self,
+        from: SocketAddr,
+        datagram: Datagram,
+        trigger_fetch: &mpsc::Sender<()>,
+    ) {
         for sealed in datagram.heartbeats {
             match sealed.open(&self.settings.keyring) {
                 Ok(heartbeat) if heartbeat.instance == self.identity.instance => {}
                 Ok(heartbeat) => {
                     if self.is_ahead(&heartbeat) {
-                        // A fetch that is already asked for is enough.
-                        let _ = behind.try_send(());
+                        // If the channel is full, a fetch is already pending.
+                        let _ = trigger_fetch.try_send(());
                     }
-                    let is_new = self.take(from, heartbeat);
+                    let is_new = self.apply_heartbeat(from, heartbeat);
                     self.count_received_heartbeat(is_new);
                     if is_new && datagram.pass_on {
-                        self.pass_on(sealed);
+                        self.forward(sealed);
                     }
                 }
-                Err(fault) => self.refuse(from, fault),
+                Err(fault) => self.reject(from, fault),
             }
         }
     }
@@ -70,28 +74,28 @@
         });
     }
 
-    fn refuse(&self, from: SocketAddr, fault: HeartbeatFault) {
+    fn reject(&self, from: SocketAddr, fault: HeartbeatFault) {
         self.metrics.heartbeat("refused");
-        warn!(self.log, "heartbeat refused";
+        warn!(self.log, "heartbeat rejected";
             "from" => from.to_string(), "cause" => fault.to_string());
     }
 
-    /// Old heartbeats are not passed on, so that nobody can make a relay repeat
-    /// what was recorded.
-    fn pass_on(&self, sealed: SealedHeartbeat) {
+    /// Queues a heartbeat for forwarding. Callers forward only new ones, so that recorded datagrams
+    /// can't be replayed through a relay.
+    fn forward(&self, sealed: SealedHeartbeat) {
         self.metrics.heartbeat("passed_on");
         self.relay.push(sealed);
     }
 
-    /// Whether the sender has a newer configuration or list than this instance had
-    /// when that was asked last.
+    /// Returns whether the sender has a newer configuration or list than this instance had at the
+    /// last query of its own state.
     fn is_ahead(&self, heartbeat: &Heartbeat) -> bool {
         let (config_version, list_revision) = *self.versions();
         heartbeat.config_version > config_version || heartbeat.list_revision > list_revision
     }
 
-    /// Takes a heartbeat; returns whether it is news.
-    fn take(&self, from: SocketAddr, heartbeat: Heartbeat) -> bool {
+    /// Applies a heartbeat; returns whether it is new.
+    fn apply_heartbeat(&self, from: SocketAddr, heartbeat: Heartbeat) -> bool {
         let now = self.clock.now();
         let at = |age_ms: u64| FleetMembers::confirmed_at(now, Duration::from_millis(age_ms));
         let state = MemberState {
@@ -121,19 +125,20 @@
             members.queue_immediate_heartbeat(heartbeat.address);
             self.heartbeat_now.notify_one();
         }
-        let follows = members.counts_individually(&heartbeat.zone);
+        let counts_individually = members.counts_individually(&heartbeat.zone);
         let is_relay = !heartbeat.news.is_empty() && members.is_relay(now);
         let delay = members.heartbeat_delay(heartbeat.address);
         drop(members);
-        // Contacts with instances that are usually not heard would be hundreds of lines.
-        if arrival == Arrival::FirstOfIncarnation && follows {
-            info!(self.log, "peer heard for the first time";
+        // Instances whose heartbeats arrive only at random are not logged: that would be hundreds
+        // of lines.
+        if arrival == Arrival::FirstOfIncarnation && counts_individually {
+            info!(self.log, "first heartbeat received from a peer";
                 "peer" => &heartbeat.instance, "incarnation" => &heartbeat.incarnation,
                 "directly" => is_direct, "config_version" => heartbeat.config_version);
         }
         self.apply_peer_evacuations(heartbeat.evacuations, &heartbeat.instance);
-        for news in heartbeat.news {
-            self.take_news(news.aged(delay), &heartbeat.instance, is_relay);
+        for update in heartbeat.news {
+            self.apply_list_update(update.aged(delay), &heartbeat.instance, is_relay);
         }
         if !heartbeat.suspects.is_empty() {
             self.control.tell(GatewayMessage::SuspectsReceived {
@@ -158,7 +163,7 @@
                     .tell(GatewayMessage::HeardUnreachable { replica });
             }
         }
-        if follows || heartbeat.digest.is_some() {
+        if counts_individually || heartbeat.digest.is_some() {
             self.control.tell(GatewayMessage::PeerMessageReceived {
                 told: AdvertisedLoads {
                     instance: heartbeat.instance,
@@ -173,35 +178,36 @@
         true
     }
 
-    /// Most heartbeats bring nothing new; the decisions are not bothered with those.
-    fn apply_peer_evacuations(&self, told: AdvertisedEvacuations, source: &str) {
-        let is_news = {
-            let heard = self.applied_evacuations.lock();
-            let mut heard = heard.unwrap_or_else(PoisonError::into_inner);
-            let is_news = told.revision > *heard;
-            *heard = told.revision.max(*heard);
-            is_news
+    /// Passes evacuations to the control thread if they are newer than the last ones passed: most
+    /// heartbeats repeat known ones.
+    fn apply_peer_evacuations(&self, advertised: AdvertisedEvacuations, source: &str) {
+        let is_new = {
+            let applied = self.applied_evacuations.lock();
+            let mut applied = applied.unwrap_or_else(PoisonError::into_inner);
+            let is_new = advertised.revision > *applied;
+            *applied = advertised.revision.max(*applied);
+            is_new
         };
-        if is_news {
+        if is_new {
             self.control.tell(GatewayMessage::Evacuations {
-                news: EvacuationUpdate::Whole(told),
+                news: EvacuationUpdate::Whole(advertised),
                 source: source.to_owned(),
             });
         }
     }
 
-    /// A relay tells the other zones what it hears: theirs may not read the
-    /// platform just now.
-    fn take_news(&self, news: ListUpdate, source: &str, is_relay: bool) {
+    /// Applies a list update of a peer. A relay also advertises it to the other zones, whose
+    /// instances may be unable to read the platform at the moment.
+    fn apply_list_update(&self, update: ListUpdate, source: &str, is_relay: bool) {
         if is_relay
             && self
                 .directory_state()
-                .record_peer_update(self.clock.now(), &news)
+                .record_peer_update(self.clock.now(), &update)
         {
             self.heartbeat_now.notify_one();
         }
         self.control.tell(GatewayMessage::ListUpdate {
-            news,
+            news: update,
             source: source.to_owned(),
         });
     }
--- a/crates/daemon/src/peers/heartbeat.rs
+++ b/crates/daemon/src/peers/heartbeat.rs
@@ -1,5 +1,5 @@
-//! What instances tell each other several times a second, and the datagrams that
-//! carry it.
+//! Heartbeats, with which instances advertise their state to each other several times a second,
+//! and the datagrams that contain them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,147 +21,148 @@
 use serde::Serialize;
 use thiserror::Error;
 
+/// Purpose that the signature of a heartbeat covers.
 const PURPOSE: &str = "heartbeat";
 
-/// Changes of the list from one revision to another.
+/// Changes of the list of backend servers from one revision to a later one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListUpdate {
-    /// Revision before the changes.
+    /// Revision of the list before the changes.
     pub after: Revision,
-    /// Revision after them.
+    /// Revision of the list after the changes.
     pub revision: Revision,
-    /// The changes.
+    /// The changed entries.
     pub changes: Vec<ReplicaChange>,
-    /// Milliseconds since the platform answered again after an outage, from
-    /// which removals may stem.
+    /// Milliseconds since the end of an outage of the platform, which may have caused the
+    /// removals; `None` if there was no recent outage.
     pub outage_ended_ms: Option<u64>,
 }
 
 impl ListUpdate {
-    /// The changes in short, for logs: what is written is a decision about each
-    /// server.
+    /// Returns a summary of the changes for logs, with the decision about each server.
     pub fn summary(&self) -> String {
-        let words = self.changes.iter().map(|change| match change {
+        let changes = self.changes.iter().map(|change| match change {
             ReplicaChange::Listed(replica) if replica.leaving => format!("{} leaves", replica.id),
             ReplicaChange::Listed(replica) => format!("{} serves", replica.id),
             ReplicaChange::Removed(id) => format!("{id} removed"),
             ReplicaChange::Unusable(id) => format!("{id} unusable"),
         });
-        words.collect::<Vec<_>>().join(", ")
+        changes.collect::<Vec<_>>().join(", ")
     }
 
-    /// The same changes, told a while after they were read.
+    /// Returns the same update as advertised `age` after it was read.
     pub fn aged(&self, age: Duration) -> ListUpdate {
-        let mut news = self.clone();
+        let mut update = self.clone();
         let age_ms = age.as_millis() as u64;
-        news.outage_ended_ms = news.outage_ended_ms.map(|ended_ms| ended_ms + age_ms);
-        news
+        update.outage_ended_ms = update.outage_ended_ms.map(|ended_ms| ended_ms + age_ms);
+        update
     }
 }
 
-/// One heartbeat.
+/// A heartbeat: the state that one instance advertises.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Name of the sender.
     pub instance: InstanceId,
-    /// Its process life.
+    /// Incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// Number of the heartbeat within that life.
+    /// Sequence number of the heartbeat within this incarnation.
     pub sequence: u64,
-    /// Milliseconds of its clock at which it was made.
+    /// Time of creation, in milliseconds of the sender's clock.
     pub said_at_ms: u64,
-    /// Where it listens: a relay may have passed this on.
+    /// Peer address of the sender: the datagram may come from a relay instead.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the sender.
     pub zone: ZoneId,
-    /// Thousandths of a processor core that it has.
+    /// Processor capacity of the sender in thousandths of a core.
     pub core_millis: u32,
-    /// Whether it tells the others by way of relays.
+    /// Whether the sender sends its heartbeats by way of relays.
     pub has_relays: bool,
-    /// Version of the configuration in force there.
+    /// Version of the configuration in force at the sender.
     pub config_version: ConfigVersion,
-    /// Milliseconds since the platform confirmed that configuration.
+    /// Milliseconds since the platform confirmed this configuration; `None` if not confirmed.
     pub config_age_ms: Option<u64>,
-    /// Revision of its list of backend servers.
+    /// Revision of the sender's list of backend servers.
     pub list_revision: Revision,
-    /// Milliseconds since the platform confirmed that list.
+    /// Milliseconds since the platform confirmed this list; `None` if not confirmed.
     pub list_age_ms: Option<u64>,
-    /// Whether it could read the platform when it tried last.
+    /// Whether the sender's last read of the platform succeeded.
     pub can_read: bool,
-    /// Other instances that it knows.
+    /// Peer addresses of other instances that the sender knows.
     pub addresses: Vec<SocketAddr>,
-    /// What it has put on the backend servers.
+    /// Load that the sender has placed on the backend servers.
     pub shares: LoadShares,
-    /// What its whole zone has put on them, from a relay to other zones.
+    /// Load that the sender's whole zone has placed on them; only from a relay to other zones.
     pub digest: Option<ZoneDigest>,
-    /// Backend servers that told it lately that they leave.
+    /// Backend servers that recently told the sender that they are draining.
     pub said_leaving: Vec<ServerLife>,
-    /// Limits that backend servers named.
+    /// Limits that backend servers declared.
     pub limits: Vec<AdvertisedLimit>,
-    /// Backend servers that took no connection of it lately.
+    /// Backend servers that recently refused a connection of the sender.
     pub unreachable: Vec<ServerLife>,
-    /// The zones that are evacuated.
+    /// Zones under evacuation.
     pub evacuations: AdvertisedEvacuations,
-    /// Contents of requests that it suspects to end backend servers.
+    /// Fingerprints of requests that the sender suspects of crashing backend servers.
     pub suspects: Vec<AdvertisedSuspect>,
-    /// The latest changes of the list.
+    /// The latest updates of the list of backend servers.
     pub news: Vec<ListUpdate>,
 }
 
-/// Why a datagram changes nothing.
+/// Reason why a datagram or heartbeat is rejected.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum HeartbeatFault {
-    /// It is no heartbeat.
-    #[error("the datagram is no heartbeat")]
+    /// The bytes can't be decoded.
+    #[error("datagram can't be decoded as a heartbeat")]
     Unreadable,
-    /// The tag does not match.
-    #[error("the heartbeat is not signed by this fleet")]
+    /// The signature matches no key of this fleet.
+    #[error("heartbeat is not signed by this fleet")]
     Forged,
 }
 
-/// A heartbeat as its sender signed it; relays pass it on as it is.
+/// A heartbeat as its sender encoded and signed it; relays forward it unchanged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SealedHeartbeat {
     tag: String,
     body: Vec<u8>,
 }
 
-/// One datagram between instances.
+/// A datagram between instances.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Whether the receiver should pass the heartbeats on within its zone.
+    /// Whether the receiver should forward the heartbeats within its zone.
     pub pass_on: bool,
-    /// The heartbeats.
+    /// The signed heartbeats.
     pub heartbeats: Vec<SealedHeartbeat>,
 }
 
 impl Datagram {
-    /// The bytes to send; `None` only if the library can't encode them.
+    /// Returns the encoded datagram; `None` only if the encoder fails.
     pub fn encode(&self) -> Option<Vec<u8>> {
         postcard::to_allocvec(self).ok()
     }
 
-    /// Reads a datagram; its heartbeats are still to be checked.
+    /// Decodes a datagram; the signatures of its heartbeats are not checked yet.
     ///
     /// # Errors
     ///
-    /// [`HeartbeatFault::Unreadable`].
+    /// [`HeartbeatFault::Unreadable`] if the bytes are no datagram.
     pub fn decode(bytes: &[u8]) -> Result<Datagram, HeartbeatFault> {
         postcard::from_bytes(bytes).map_err(|_| HeartbeatFault::Unreadable)
     }
 }
 
 impl SealedHeartbeat {
-    /// Bytes that it takes in a datagram, about.
+    /// Approximate size in a datagram, in bytes.
     pub fn size_bytes(&self) -> usize {
         self.tag.len() + self.body.len() + 4
     }
 
-    /// Reads the heartbeat.
+    /// Checks the signature and decodes the heartbeat.
     ///
     /// # Errors
     ///
-    /// [`HeartbeatFault`]; the heartbeat must then change nothing.
+    /// [`HeartbeatFault`] if the signature or the encoding is invalid. The caller must then ignore
+    /// the heartbeat.
     pub fn open(&self, keyring: &Keyring) -> Result<Heartbeat, HeartbeatFault> {
         if !keyring.verify(PURPOSE, &self.body, &self.tag) {
             return Err(HeartbeatFault::Forged);
@@ -171,7 +172,7 @@
 }
 
 impl Heartbeat {
-    /// Signs it; `None` only if the library can't encode it.
+    /// Encodes and signs the heartbeat; `None` only if the encoder fails.
     pub fn seal(&self, keyring: &Keyring) -> Option<SealedHeartbeat> {
         let body = postcard::to_allocvec(self).ok()?;
         let tag = keyring.sign(PURPOSE, &body);
--- a/crates/daemon/src/peers/heartbeat_relay.rs
+++ b/crates/daemon/src/peers/heartbeat_relay.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that this instance passes on within its availability zone.
+//! Queue of the heartbeats that this instance forwards within its availability zone.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -8,15 +8,15 @@
 use crate::peers::heartbeat::Datagram;
 use crate::peers::heartbeat::SealedHeartbeat;
 
-/// Bytes of heartbeats in one datagram, about: far below the limit of UDP, and
-/// small enough to delay no stream on a slow link.
+/// Approximate limit of the bytes of heartbeats in one datagram: far below the limit of UDP, and
+/// small enough not to delay streams on a slow link.
 const MAX_BUNDLE_BYTES: usize = 12_000;
 
-/// Heartbeats that wait at most: several hundred instances within one bundle's
-/// time. The oldest go first; their senders tell the same again.
+/// Limit of queued heartbeats: enough for several hundred instances within one bundle interval.
+/// Above it the oldest are dropped; their senders repeat the state in later heartbeats.
 const MAX_WAITING_HEARTBEATS: usize = 2_000;
 
-/// What waits to be passed on.
+/// Heartbeats queued for forwarding.
 #[derive(Debug, Default)]
 pub struct HeartbeatRelay {
     waiting: Mutex<Vec<SealedHeartbeat>>,
@@ -24,7 +24,7 @@
 }
 
 impl HeartbeatRelay {
-    /// Takes a heartbeat that is new here.
+    /// Queues a heartbeat that is new to this instance.
     pub fn push(&self, heartbeat: SealedHeartbeat) {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         if waiting.len() >= MAX_WAITING_HEARTBEATS {
@@ -34,12 +34,12 @@
         self.arrived.notify_one();
     }
 
-    /// Waits until there is something to pass on.
+    /// Waits until a heartbeat is queued.
     pub async fn arrival(&self) {
         self.arrived.notified().await;
     }
 
-    /// All that waits, as datagrams to send.
+    /// Empties the queue and returns its heartbeats as encoded datagrams, in order.
     pub fn take(&self) -> Vec<Vec<u8>> {
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
         let waiting = std::mem::take(&mut *waiting);
--- a/crates/daemon/src/peers/packed.rs
+++ b/crates/daemon/src/peers/packed.rs
@@ -1,4 +1,4 @@
-//! Values in a compact form inside of JSON messages.
+//! Compact encoding of values in JSON messages.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
@@ -10,8 +10,8 @@
 use serde::de::Error as _;
 use serde::ser::Error as _;
 
-/// A value that is written as text of its bytes in postcard's form: fewer bytes
-/// than JSON, which would be quoted once more in a signed message.
+/// A value that serializes to a Base64 string of its postcard encoding. This takes fewer bytes
+/// than JSON, whose quotes would be escaped once more in the body of a signed message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Packed<T>(pub T);
 
--- a/crates/daemon/src/peers/peer_answers.rs
+++ b/crates/daemon/src/peers/peer_answers.rs
@@ -1,4 +1,4 @@
-//! What an instance answers its peers.
+//! Answers of an instance to the requests of its peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 use crate::peers::peer_server::PeerAnswers;
 use crate::platform::platform_reader::offered;
 
-/// Answers out of the state of an instance.
+/// Answers requests from the state of an instance.
 pub struct InstanceAnswers {
     app: Arc<App>,
 }
 
 impl InstanceAnswers {
-    /// Answers for an instance.
+    /// Creates the answers for the instance of `app`.
     pub fn new(app: Arc<App>) -> Self {
         InstanceAnswers { app }
     }
@@ -36,8 +36,8 @@
     async fn answered(&self, from: InstanceId, request: PeerRequest) -> Option<PeerReply> {
         match request {
             PeerRequest::Exchange(versions) => self.exchange(from, versions).await,
-            PeerRequest::Offer(news) => {
-                apply_peer_update(&self.app, &from, news);
+            PeerRequest::Offer(update) => {
+                apply_peer_update(&self.app, &from, update);
                 Some(PeerReply::Taken)
             }
             PeerRequest::RunCall(call) => {
@@ -53,7 +53,7 @@
                 let records = self.app.control.ask(ask).await;
                 records.map(|records| PeerReply::Timeline { records })
             }
-            // Only gateways know what is asked here.
+            // Only gateways have this state.
             PeerRequest::Gateway { .. } => None,
         }
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// What this process has and a peer lacks.
+/// Returns the state that this process has and a peer lacks.
 pub async fn update_for(app: &App, own: &Versions, theirs: &PeerVersions) -> PeerUpdate {
     let instances = match theirs.roster_version < own.roster_version {
         true => instances_of(app, own.roster_version).await,
@@ -88,15 +88,15 @@
     PeerUpdate { config, instances }
 }
 
-/// Tells the decisions what a peer has sent.
-pub fn apply_peer_update(app: &App, source: &str, news: PeerUpdate) {
-    if let Some(instances) = news.instances {
+/// Passes an update from a peer to the control thread.
+pub fn apply_peer_update(app: &App, source: &str, update: PeerUpdate) {
+    if let Some(instances) = update.instances {
         app.control.tell(Event::InstanceListOffered {
             version: instances.version,
             entries: instances.entries,
         });
     }
-    if let Some(config) = news.config {
+    if let Some(config) = update.config {
         app.control.tell(offered(config, source));
     }
 }
@@ -107,7 +107,7 @@
     Some(InstancesReply { version, entries })
 }
 
-/// Tells the decisions what a peer has.
+/// Passes the versions and suspects of a peer to the control thread.
 pub fn apply_peer_versions(app: &App, instance: InstanceId, versions: &PeerVersions) {
     app.control.tell(Event::PeerMessageReceived {
         instance,
@@ -128,7 +128,7 @@
     }
 }
 
-/// What a process has, as its peers are told.
+/// Returns the versions of this process in the form sent to peers.
 pub fn versions_of(identity: &Identity, versions: &Versions) -> PeerVersions {
     PeerVersions {
         incarnation: identity.incarnation.clone(),
--- a/crates/daemon/src/peers/peer_exchanger.rs
+++ b/crates/daemon/src/peers/peer_exchanger.rs
@@ -1,4 +1,4 @@
-//! Carries out the exchanges that the decisions ask for.
+//! Carries out the version exchanges that the control thread requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,16 +18,17 @@
 use crate::peers::peer_message::PeerRequest;
 use crate::peers::peer_message::PeerUpdate;
 
-/// Longest wait for a peer's versions.
+/// Timeout of an exchange or an offer.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Exchanges under way at once; more wait for these.
+/// Limit of concurrent exchanges; further ones wait.
 const MAX_CONCURRENT_EXCHANGES: usize = 16;
 
-/// Time between two rounds of asking the seed peers.
+/// Time between two rounds of exchanges with the seed peers.
 const SEED_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks the peers of the settings until a configuration and a list are there.
+/// Exchanges versions with the seed peers of the settings until this instance has a configuration
+/// and an instance list.
 pub async fn run_seeds(app: Arc<App>) {
     loop {
         for seed in &app.settings.seed_peers {
@@ -43,7 +44,7 @@
     }
 }
 
-/// Runs for the life of the process.
+/// Carries out exchanges with the peers from `targets` until the process ends.
 pub async fn run_exchanges(app: Arc<App>, mut targets: mpsc::UnboundedReceiver<ExchangeTarget>) {
     let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_EXCHANGES));
     while let Some(target) = targets.recv().await {
@@ -58,8 +59,8 @@
     }
 }
 
-/// Compares versions with a peer; whoever is behind gets what is newer. The
-/// asker brings what the peer lacks: the peer may not know where to ask.
+/// Compares versions with a peer; the side with the older version gets the newer one. This side
+/// sends what the peer lacks, because the peer may not know an address to request it from.
 async fn exchange(app: &App, (instance, address): ExchangeTarget) {
     let ask = |reply| ControlMessage::Versions { reply };
     let Some(own) = app.control.ask(ask).await else {
@@ -78,13 +79,15 @@
                 offer(app, (instance, address), lacking).await;
             }
         }
-        Ok(_) => debug!(app.log, "a peer answered something else"; "peer" => &instance),
+        Ok(_) => {
+            debug!(app.log, "peer answered an exchange with another reply"; "peer" => &instance)
+        }
         Err(error) => debug!(app.log, "exchange failed"; "error" => %error),
     }
 }
 
-async fn offer(app: &App, (instance, address): ExchangeTarget, news: PeerUpdate) {
-    let request = PeerRequest::Offer(news);
+async fn offer(app: &App, (instance, address): ExchangeTarget, update: PeerUpdate) {
+    let request = PeerRequest::Offer(update);
     let answer = app.peers.ask(instance, address, request, TIMEOUT);
     if let Err(error) = answer.await {
         debug!(app.log, "offer failed"; "error" => %error);
--- a/crates/daemon/src/peers/peer_message.rs
+++ b/crates/daemon/src/peers/peer_message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other.
+//! Messages of the peer interface.
 
 use iristhread_api::ConfigReply;
 use iristhread_api::InstancesReply;
@@ -25,54 +25,53 @@
 /// [`PeerRequest`] or [`PeerReply`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SignedMessage {
-    /// Sender.
+    /// Name of the sender.
     pub from: InstanceId,
-    /// Process life of the sender.
+    /// Incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// Receiver.
+    /// Name of the receiver.
     pub to: InstanceId,
-    /// Counts the messages of the sender's process; a reply repeats the number
-    /// of its request.
+    /// Sequence number of the sender's process; a reply repeats the number of its request.
     pub sequence: u64,
-    /// Content.
+    /// JSON of the request or reply.
     pub body: String,
-    /// Tag over all of the above.
+    /// Signature over all fields above.
     pub tag: String,
 }
 
-/// Versions that a process has.
+/// Versions of the state that a process has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PeerVersions {
-    /// Life of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Version of the configuration in force.
     pub config_version: ConfigVersion,
-    /// Milliseconds since the platform confirmed it, if ever.
+    /// Milliseconds since the platform confirmed the configuration; `None` if it never did.
     pub config_age_ms: Option<u64>,
     /// Version of the instance list.
     pub roster_version: u64,
-    /// Hybrid time.
+    /// Time of the sender's hybrid clock.
     pub time: HybridTime,
-    /// Contents of requests that it suspects to end backend servers.
+    /// Fingerprints of requests that the process suspects of crashing backend servers.
     pub suspects: Packed<Vec<AdvertisedSuspect>>,
 }
 
-/// A call to a plain service, for the instance of its ticket.
+/// A call to a plain service, forwarded to the instance that its ticket names.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ForwardedCall {
-    /// Request that the caller made.
+    /// Id of the caller's request.
     pub request: RequestId,
-    /// Its workspace.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Method of the call.
+    /// HTTP method of the call.
     pub method: String,
-    /// Path below the service, with the query.
+    /// Path below the service, including the query.
     pub path: String,
-    /// Type of the body, if given.
+    /// Content type of the body, if given.
     pub content_type: Option<String>,
-    /// Body.
+    /// Body of the call.
     pub body: Vec<u8>,
     /// The ticket as the caller sent it.
     pub ticket: String,
@@ -81,7 +80,7 @@
 }
 
 impl ForwardedCall {
-    /// What it consists of, for callers that come again.
+    /// Returns the request fingerprint, which recognizes a repeated call.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&FingerprintInput {
             workspace: Some(&self.workspace),
@@ -93,74 +92,74 @@
     }
 }
 
-/// What one process has and another lacks.
+/// State that one process has and another one lacks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PeerUpdate {
-    /// The configuration, if the other's is older.
+    /// The configuration, if the other process has an older one.
     pub config: Option<ConfigReply>,
-    /// The instance list, if the other's is older.
+    /// The instance list, if the other process has an older one.
     pub instances: Option<InstancesReply>,
 }
 
 impl PeerUpdate {
-    /// Whether the other lacks nothing.
+    /// Returns whether the other process lacks nothing.
     pub fn is_empty(&self) -> bool {
         self.config.is_none() && self.instances.is_none()
     }
 }
 
-/// Asked of a peer.
+/// A request to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum PeerRequest {
-    /// Compare versions; whoever is behind gets what is newer.
+    /// Compares versions; the side with the older version gets the newer one.
     Exchange(PeerVersions),
-    /// Here is what an exchange has shown the receiver to lack.
+    /// Sends the state that the receiver lacks according to an exchange.
     Offer(PeerUpdate),
-    /// Run a call whose ticket names the receiver.
+    /// Runs a call whose ticket names the receiver.
     RunCall(ForwardedCall),
-    /// Send what the platform has published, if it is newer than this.
+    /// Requests the published state of the platform that is newer than these versions.
     Gateway {
-        /// Version of the configuration that the asker has.
+        /// Version of the requester's configuration.
         config_above: ConfigVersion,
-        /// Revision of the list of backend servers that the asker has.
+        /// Revision of the requester's list of backend servers.
         list_above: Revision,
     },
-    /// Send the time line.
+    /// Requests records of the timeline.
     Timeline {
-        /// Records after this time.
+        /// Only records after this time.
         after: HybridTime,
-        /// Of this request, or of all.
+        /// Only records of this request; `None` for all requests.
         request: Option<RequestId>,
     },
 }
 
-/// Answered by a peer.
+/// A reply of a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum PeerReply {
-    /// Versions of the receiver, and what the asker lacks.
+    /// Reply to an exchange.
     Exchange {
         /// Versions of the receiver.
         versions: PeerVersions,
-        /// What the asker lacks.
+        /// State that the requester lacks.
         news: PeerUpdate,
     },
-    /// The offer was looked at.
+    /// The offer was processed.
     Taken,
-    /// What became of the call.
+    /// Result of the forwarded call.
     CallAnswer(CallAnswer),
-    /// What the platform has published.
+    /// Published state of the platform.
     Gateway {
-        /// The configuration, if it is newer than the asker's.
+        /// The configuration, if it is newer than the requester's.
         config: Option<Box<Packed<GatewayConfig>>>,
-        /// The list of backend servers, or what has changed since, if it is newer than the
-        /// asker's.
+        /// The list of backend servers, in full or as a delta, if it is newer than the
+        /// requester's.
         list: Option<Packed<AdvertisedList>>,
     },
-    /// The time line.
+    /// Records of the timeline.
     Timeline {
-        /// Records, oldest first.
+        /// The records, oldest first.
         records: Vec<TimelineRecord>,
     },
 }
--- a/crates/daemon/src/peers/peer_port.rs
+++ b/crates/daemon/src/peers/peer_port.rs
@@ -1,4 +1,4 @@
-//! How an instance asks another.
+//! Client of the peer interface.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU64;
@@ -21,24 +21,26 @@
 use crate::peers::peer_message::PeerRequest;
 use crate::peers::peer_message::SignedMessage;
 
-/// The one method of the peer interface.
+/// The only JSON-RPC method of the peer interface.
 pub const PEER_METHOD: &str = "iristhread_peer";
 
-/// Most bytes of a message: a configuration of a megabyte, quoted twice.
+/// Limit of the size of a message in bytes: enough for a configuration of one megabyte whose JSON
+/// is escaped twice.
 pub const MAX_MESSAGE_BYTES: u32 = 8 << 20;
 
-/// Why a peer gave no answer. The request may have been carried out.
+/// Reason why a peer gave no valid answer. The request may have been carried out. Callers of plain
+/// services receive the text as part of an answer.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// No answer, or a refusal.
+    /// The peer did not answer, or refused the request.
     #[error("instance {instance} can't be asked: {cause}")]
     Unreachable {
         /// The peer.
         instance: InstanceId,
-        /// What was seen.
+        /// Description of the failure.
         cause: String,
     },
-    /// The answer is not from that peer.
+    /// The answer is not signed by the peer, or does not belong to the request.
     #[error("the answer of instance {instance} is not signed by it")]
     Forged {
         /// The peer.
@@ -46,9 +48,9 @@
     },
 }
 
-/// Asks peers.
+/// Sends requests to peers.
 pub trait PeerPort: Send + Sync {
-    /// Sends a request and waits for the answer.
+    /// Sends a request and waits up to `timeout` for the answer.
     fn ask(
         &self,
         instance: InstanceId,
@@ -58,7 +60,7 @@
     ) -> BoxFuture<'_, Result<PeerReply, PeerError>>;
 }
 
-/// Peers over JSON-RPC.
+/// Sends requests to peers over JSON-RPC.
 pub struct JsonRpcPeers {
     identity: Identity,
     keyring: Keyring,
@@ -66,7 +68,7 @@
 }
 
 impl JsonRpcPeers {
-    /// Asks in the name of `identity`.
+    /// Creates a client that signs its requests as `identity`.
     pub fn new(identity: Identity, keyring: Keyring) -> Self {
         JsonRpcPeers {
             identity,
@@ -75,8 +77,8 @@
         }
     }
 
-    /// A client with no connection yet: peers are asked seldom, and a connection that was
-    /// kept meanwhile may have fallen silent.
+    /// Returns a client without a connection. Connections are not reused, because requests to
+    /// peers are rare and an idle connection may have stalled.
     fn client(address: SocketAddr, timeout: Duration) -> Result<HttpClient, String> {
         HttpClientBuilder::default()
             .max_request_size(MAX_MESSAGE_BYTES)
@@ -144,7 +146,7 @@
     }
 }
 
-/// Signs a message in the name of `identity`.
+/// Signs a message as `identity`.
 pub fn sign(
     identity: &Identity,
     keyring: &Keyring,
--- a/crates/daemon/src/peers/peer_server.rs
+++ b/crates/daemon/src/peers/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the peers: checks who asks, hands the request on, signs the answer.
+//! Server of the peer interface: verifies the sender, passes the request on and signs the answer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,24 +26,26 @@
 use crate::peers::peer_port::PEER_METHOD;
 use crate::peers::peer_port::sign;
 
-/// JSON-RPC codes of refusals.
+/// JSON-RPC error code: the message failed verification.
 const REFUSED: i32 = -32_001;
+/// JSON-RPC error code: the request or the reply can't be parsed or encoded.
 const UNREADABLE: i32 = -32_002;
+/// JSON-RPC error code: the instance gives no answer, because it is stopping.
 const STOPPING: i32 = -32_003;
 
-/// Answers requests of peers that were found genuine.
+/// Answers verified requests of peers.
 pub trait PeerAnswers: Send + Sync {
-    /// The answer; `None` when the process is stopping.
+    /// Returns the answer; `None` when the process is stopping or does not serve this request.
     fn answer(&self, from: InstanceId, request: PeerRequest) -> BoxFuture<'_, Option<PeerReply>>;
 }
 
-/// Who this process is towards its peers.
+/// Identity of this process towards its peers.
 pub struct PeerIdentity {
-    /// Its name and life.
+    /// Name and incarnation of this process.
     pub identity: Identity,
     /// Keys of the fleet.
     pub keyring: Keyring,
-    /// Where it listens.
+    /// Address to listen on.
     pub address: SocketAddr,
 }
 
@@ -54,11 +56,11 @@
     log: Logger,
 }
 
-/// Serves the peers; the handle stops it.
+/// Starts the server of the peer interface; returns a handle that stops it, and its address.
 ///
 /// # Errors
 ///
-/// When the address can't be listened on.
+/// If the server can't listen on the address.
 pub async fn serve_peers(
     own: PeerIdentity,
     answers: Arc<dyn PeerAnswers>,
@@ -119,7 +121,7 @@
             &message.tag,
         );
         checked.map_err(|rejection| {
-            warn!(self.log, "peer message refused"; "reason" => %rejection);
+            warn!(self.log, "peer message failed verification"; "reason" => %rejection);
             refusal(REFUSED, &rejection.to_string())
         })
     }
--- a/crates/daemon/tests/heartbeat.rs
+++ b/crates/daemon/tests/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats and the datagrams that carry them: what is cut, forged or of another
-//! fleet changes nothing, and a relay passes on what it was given as it was signed.
+//! Heartbeats and their datagrams: truncated, forged and foreign ones are rejected, and a relay
+//! forwards signed heartbeats unchanged.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -75,44 +75,47 @@
 }
 
 #[test]
-fn a_heartbeat_arrives_as_it_was_told() {
-    let told = heartbeat(7, 3);
-    let bytes = encoded(vec![told.seal(&keyring('a')).unwrap()]);
+fn a_heartbeat_survives_encoding_and_decoding() {
+    let sent = heartbeat(7, 3);
+    let bytes = encoded(vec![sent.seal(&keyring('a')).unwrap()]);
     let datagram = Datagram::decode(&bytes).unwrap();
     assert!(datagram.pass_on);
-    assert_eq!(datagram.heartbeats[0].open(&keyring('a')), Ok(told));
+    assert_eq!(datagram.heartbeats[0].open(&keyring('a')), Ok(sent));
 }
 
 #[test]
-fn a_heartbeat_of_another_fleet_is_refused() {
+fn a_heartbeat_of_another_fleet_is_rejected() {
     let sealed = heartbeat(7, 3).seal(&keyring('a')).unwrap();
     assert_eq!(sealed.open(&keyring('b')), Err(HeartbeatFault::Forged));
 }
 
-/// Each byte of the heartbeat is covered by the tag; of a datagram cut anywhere
-/// nothing is taken.
+/// The signature covers every byte of a heartbeat, and a datagram truncated at any byte can't be
+/// decoded.
 #[test]
-fn a_changed_or_cut_datagram_gives_no_heartbeat() {
+fn a_changed_or_truncated_datagram_gives_no_heartbeat() {
     let bytes = encoded(vec![heartbeat(7, 3).seal(&keyring('a')).unwrap()]);
-    for place in 0..bytes.len() {
-        assert!(Datagram::decode(&bytes[..place]).is_err(), "cut at {place}");
+    for index in 0..bytes.len() {
+        assert!(
+            Datagram::decode(&bytes[..index]).is_err(),
+            "truncated at {index}"
+        );
         let mut changed = bytes.clone();
-        changed[place] ^= 1;
+        changed[index] ^= 1;
         let opened = Datagram::decode(&changed).map(|datagram| {
             let heartbeats = datagram.heartbeats.iter();
             heartbeats
                 .filter_map(|h| h.open(&keyring('a')).ok())
                 .count()
         });
-        // The first byte asks to pass it on, which no tag covers.
-        assert!(place == 0 || matches!(opened, Ok(0) | Err(_)), "at {place}");
+        // The first byte is the flag `pass_on`, which no signature covers.
+        assert!(index == 0 || matches!(opened, Ok(0) | Err(_)), "at {index}");
     }
 }
 
 proptest! {
-    /// Whatever arrives is read or refused, without a panic.
+    /// Arbitrary bytes never cause a panic.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         if let Ok(datagram) = Datagram::decode(&bytes) {
             for heartbeat in datagram.heartbeats {
                 assert!(heartbeat.open(&keyring('a')).is_err());
@@ -122,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_relay_passes_on_everything_once_and_in_order() {
+async fn a_relay_forwards_each_heartbeat_once_and_in_order() {
     let relay = HeartbeatRelay::default();
     for sequence in 0..200 {
         relay.push(heartbeat(sequence, 8).seal(&keyring('a')).unwrap());
@@ -133,7 +136,10 @@
     assert!(datagrams.iter().all(|datagram| datagram.len() <= 12_100));
     let heartbeats = datagrams.iter().flat_map(|bytes| {
         let datagram = Datagram::decode(bytes).unwrap();
-        assert!(!datagram.pass_on, "it would go round in circles");
+        assert!(
+            !datagram.pass_on,
+            "heartbeats would be forwarded in circles"
+        );
         datagram.heartbeats
     });
     let sequences = heartbeats.map(|h| h.open(&keyring('a')).unwrap().sequence);
@@ -142,7 +148,7 @@
 }
 
 #[test]
-fn a_relay_that_is_held_up_keeps_the_latest() {
+fn a_full_relay_queue_keeps_the_latest_heartbeats() {
     let relay = HeartbeatRelay::default();
     for sequence in 0..2_100 {
         relay.push(heartbeat(sequence, 0).seal(&keyring('a')).unwrap());
--- a/crates/daemon/tests/packed.rs
+++ b/crates/daemon/tests/packed.rs
@@ -1,4 +1,4 @@
-//! What peers hand on is compact.
+//! The compact encoding of state that peers send to each other.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -29,20 +29,20 @@
 }
 
 #[test]
-fn a_packed_value_comes_back() {
-    let told = Packed(list(20));
-    let text = serde_json::to_string(&told).unwrap();
-    let back: Packed<AdvertisedList> = serde_json::from_str(&text).unwrap();
-    assert_eq!(back, told);
+fn a_packed_value_survives_encoding_and_decoding() {
+    let sent = Packed(list(20));
+    let text = serde_json::to_string(&sent).unwrap();
+    let received: Packed<AdvertisedList> = serde_json::from_str(&text).unwrap();
+    assert_eq!(received, sent);
 }
 
 #[test]
 fn a_packed_list_takes_less_than_half_of_its_json() {
-    let told = list(3_000);
-    let json = serde_json::to_string(&told).unwrap();
-    // In a signed message the text is quoted once more.
+    let sent = list(3_000);
+    let json = serde_json::to_string(&sent).unwrap();
+    // The body of a signed message is a string, so its JSON is escaped once more.
     let quoted = serde_json::to_string(&json).unwrap();
-    let packed = serde_json::to_string(&Packed(told)).unwrap();
+    let packed = serde_json::to_string(&Packed(sent)).unwrap();
     assert!(
         packed.len() * 2 < quoted.len(),
         "{} and {}",
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn text_that_is_not_packed_is_refused() {
+fn text_that_is_not_packed_is_rejected() {
     for text in ["\"%%%\"", "\"AAAA\"", "7"] {
         assert!(
             serde_json::from_str::<Packed<AdvertisedList>>(text).is_err(),
