--- a/crates/daemon/src/completion.rs
+++ b/crates/daemon/src/completion.rs
@@ -3,10 +3,10 @@
 pub(crate) mod api_error;
 pub(crate) mod app;
 pub(crate) mod call_answer;
-pub(crate) mod call_book;
+pub(crate) mod call_store;
 pub(crate) mod caller_api;
 pub(crate) mod caller_sink;
-pub(crate) mod completion_order;
+pub(crate) mod config_view;
 pub(crate) mod control_message;
 pub(crate) mod control_thread;
 pub(crate) mod daemon;
@@ -15,4 +15,4 @@
 pub(crate) mod service_api;
 pub(crate) mod service_call;
 pub(crate) mod settings;
-pub(crate) mod view;
+pub(crate) mod validated_completion;
--- a/crates/daemon/src/completion/app.rs
+++ b/crates/daemon/src/completion/app.rs
@@ -13,11 +13,11 @@
 use tokio::sync::Semaphore;
 use tokio::sync::watch;
 
-use crate::completion::call_book::CallBook;
+use crate::completion::call_store::CallStore;
+use crate::completion::config_view::ConfigView;
 use crate::completion::control_message::Identity;
 use crate::completion::control_thread::ControlHandle;
 use crate::completion::settings::Settings;
-use crate::completion::view::View;
 use crate::engines::engine_port::EnginePort;
 use crate::operators::resource_log::ResourceLog;
 use crate::peers::peer_port::PeerPort;
@@ -35,7 +35,7 @@
     /// Decisions.
     pub control: ControlHandle,
     /// Configuration in force.
-    pub views: watch::Receiver<Arc<View>>,
+    pub views: watch::Receiver<Arc<ConfigView>>,
     /// Engines.
     pub engines: Arc<dyn EnginePort>,
     /// Other instances.
@@ -43,11 +43,11 @@
     /// Client for plain services: a connection per call.
     pub services: HttpClient,
     /// Answers of calls with a ticket.
-    pub calls: CallBook,
+    pub calls: CallStore,
     /// Changes of resources.
     pub resources: ResourceLog,
     /// Places for streams and calls.
-    pub places: Arc<Semaphore>,
+    pub stream_permits: Arc<Semaphore>,
     /// Metrics.
     pub metrics: Metrics,
     /// Logger.
@@ -58,12 +58,12 @@
 
 impl App {
     /// The configuration in force now.
-    pub fn view(&self) -> Arc<View> {
+    pub fn view(&self) -> Arc<ConfigView> {
         self.views.borrow().clone()
     }
 
     /// Notes what an answer said of its engine or runner.
-    pub fn noticed(&self, backend: &str, heard: ObservedNotice) {
+    pub fn observe_notice(&self, backend: &str, heard: ObservedNotice) {
         let notice = &heard.notice;
         if notice.is_empty() && !heard.reports_limits {
             return;
--- a/crates/daemon/src/completion/call_book.rs
+++ b/crates/daemon/src/completion/call_store.rs
@@ -21,11 +21,11 @@
 
 /// Slots by ticket number; they live as long as their tickets.
 #[derive(Debug, Default)]
-pub struct CallBook {
+pub struct CallStore {
     slots: Mutex<HashMap<String, Slot>>,
 }
 
-impl CallBook {
+impl CallStore {
     /// The slot of a ticket, made when it is first asked for.
     pub fn slot(&self, number: &str, keep_until: Now) -> AnswerSlot {
         let mut slots = self.lock();
--- a/crates/daemon/src/completion/caller_api.rs
+++ b/crates/daemon/src/completion/caller_api.rs
@@ -32,14 +32,14 @@
 use crate::completion::api_error::ApiError;
 use crate::completion::app::App;
 use crate::completion::caller_sink::CallerSink;
-use crate::completion::completion_order::CompletionOrder;
-use crate::completion::completion_order::RequestContext;
 use crate::completion::generation::Generation;
 use crate::completion::request_guard;
 use crate::completion::service_api;
+use crate::completion::validated_completion::RequestContext;
+use crate::completion::validated_completion::ValidatedCompletion;
 
 /// Frames that wait for a caller that reads slowly.
-const FRAMES_AHEAD: usize = 64;
+const FRAME_BUFFER_LEN: usize = 64;
 
 /// The routes.
 pub fn routes(app: &Arc<App>) -> Router {
@@ -50,16 +50,16 @@
     let ready = app.clone();
     Router::new()
         .post("/v1/completions", move |r: Request| {
-            answered(complete(completions.clone(), r))
+            respond_with(complete(completions.clone(), r))
         })
         .post("/v1/chat/completions", move |r: Request| {
-            answered(converse(chat.clone(), r))
+            respond_with(complete_chat(chat.clone(), r))
         })
         .get("/v1/models", move |r: Request| {
-            answered(list_models(models.clone(), r))
+            respond_with(list_models(models.clone(), r))
         })
         .any("/v1/services/*", move |r: Request| {
-            answered(service_api::call(services.clone(), r))
+            respond_with(service_api::call(services.clone(), r))
         })
         .get("/livez", |_: Request| async {
             Ok::<_, viz::Error>(text("live\n"))
@@ -68,11 +68,13 @@
             let ready = ready.clone();
             async move { Ok::<_, viz::Error>(readiness(&ready)) }
         })
-        .any("/*", |_: Request| answered(async { Err(no_such_path()) }))
+        .any("/*", |_: Request| {
+            respond_with(async { Err(no_such_path()) })
+        })
 }
 
 /// Turns an error into its answer.
-pub async fn answered(
+pub async fn respond_with(
     answer: impl Future<Output = Result<Response, ApiError>>,
 ) -> viz::Result<Response> {
     Ok(answer.await.unwrap_or_else(ApiError::into_response))
@@ -84,7 +86,7 @@
     generate(app, &request, workspace, body, false).await
 }
 
-async fn converse(app: Arc<App>, mut request: Request) -> Result<Response, ApiError> {
+async fn complete_chat(app: Arc<App>, mut request: Request) -> Result<Response, ApiError> {
     let workspace = request_guard::workspace(&app, &request)?;
     let body = request_guard::json::<ChatRequest>(&app, &mut request).await?;
     if body.messages.is_empty() {
@@ -101,9 +103,9 @@
     body: CompletionRequest,
     is_chat: bool,
 ) -> Result<Response, ApiError> {
-    let place = take_place(&app)?;
+    let permit = acquire_permit(&app)?;
     let streams = body.stream;
-    let timeout = deadline(request, app.settings.limits.start_timeout);
+    let timeout = request_timeout(request, app.settings.limits.start_timeout);
     let context = RequestContext {
         request: new_request_id(),
         workspace,
@@ -113,13 +115,13 @@
     };
     let document = app.view().document.clone();
     let keyring = &app.settings.keyring;
-    let order = CompletionOrder::check(context, body, &document, keyring)?;
-    let id = order.request.clone();
-    let generation = Generation::begin(app.clone(), order).await?;
+    let completion = ValidatedCompletion::check(context, body, &document, keyring)?;
+    let id = completion.request.clone();
+    let generation = Generation::begin(app.clone(), completion).await?;
     let mut response = if streams {
-        stream_response(&app, generation, place)
+        stream_response(&app, generation, permit)
     } else {
-        whole_response(generation, place).await?
+        full_response(generation, permit).await?
     };
     let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(&id) {
@@ -130,15 +132,15 @@
     Ok(response)
 }
 
-fn stream_response(app: &App, generation: Generation, place: OwnedSemaphorePermit) -> Response {
-    let (frames, received) = mpsc::channel::<Bytes>(FRAMES_AHEAD);
+fn stream_response(app: &App, generation: Generation, permit: OwnedSemaphorePermit) -> Response {
+    let (frames, received) = mpsc::channel::<Bytes>(FRAME_BUFFER_LEN);
     let sink = CallerSink::Events {
         frames,
         write_timeout: app.settings.limits.write_timeout,
     };
     tokio::spawn(async move {
         generation.run(sink).await;
-        drop(place);
+        drop(permit);
     });
     let body = stream::unfold(received, |mut received| async move {
         let frame = received.recv().await?;
@@ -152,14 +154,14 @@
     response
 }
 
-async fn whole_response(
+async fn full_response(
     generation: Generation,
-    place: OwnedSemaphorePermit,
+    permit: OwnedSemaphorePermit,
 ) -> Result<Response, ApiError> {
     let (reply, answer) = oneshot::channel();
     tokio::spawn(async move {
-        generation.run(CallerSink::Whole(Some(reply))).await;
-        drop(place);
+        generation.run(CallerSink::Full(Some(reply))).await;
+        drop(permit);
     });
     let gone = || ApiError::unknown(StatusCode::BAD_GATEWAY, "lost", "the generation was lost");
     let completion = answer.await.map_err(|_| gone())??;
@@ -189,14 +191,14 @@
     response
 }
 
-/// A place among the streams and calls of this instance.
+/// A permit among the streams and calls of this instance.
 ///
 /// # Errors
 ///
 /// When all are taken.
-pub fn take_place(app: &App) -> Result<OwnedSemaphorePermit, ApiError> {
-    let place = app.places.clone().try_acquire_owned();
-    place.map_err(|_| {
+pub fn acquire_permit(app: &App) -> Result<OwnedSemaphorePermit, ApiError> {
+    let permit = app.stream_permits.clone().try_acquire_owned();
+    permit.map_err(|_| {
         let limit = app.settings.limits.max_streams;
         let message =
             format!("the instance serves {limit} streams and calls, its limit max_streams");
@@ -207,7 +209,7 @@
 }
 
 /// What the caller's deadline leaves, but at most `longest`.
-pub fn deadline(request: &Request, longest: Duration) -> Duration {
+pub fn request_timeout(request: &Request, longest: Duration) -> Duration {
     let asked: Option<u64> = request.header(DEADLINE_HEADER);
     asked.map_or(longest, |ms| Duration::from_millis(ms).min(longest))
 }
--- a/crates/daemon/src/completion/caller_sink.rs
+++ b/crates/daemon/src/completion/caller_sink.rs
@@ -59,7 +59,7 @@
     }
 
     /// The last events of a whole stream.
-    fn closing(&self, reason: EndReason) -> Bytes {
+    fn final_events(&self, reason: EndReason) -> Bytes {
         let part = self.part("", Some(reason));
         let part = serde_json::to_string(&part).unwrap_or_default();
         Bytes::from(format!("data: {part}\n\ndata: {DONE_MARK}\n\n"))
@@ -83,7 +83,7 @@
         self.completion(object, choice)
     }
 
-    fn whole(&self, text: String, tokens: u32, reason: EndReason) -> Completion {
+    fn full(&self, text: String, tokens: u32, reason: EndReason) -> Completion {
         let object = if self.is_chat {
             "chat.completion"
         } else {
@@ -134,7 +134,7 @@
         write_timeout: Duration,
     },
     /// One answer at the end; empty once it was given.
-    Whole(Option<oneshot::Sender<Result<Completion, ApiError>>>),
+    Full(Option<oneshot::Sender<Result<Completion, ApiError>>>),
 }
 
 impl CallerSink {
@@ -152,7 +152,7 @@
     ) -> Result<(), CallerGone> {
         match self {
             CallerSink::Events { .. } => self.send(format.event(text, &cursor())).await,
-            CallerSink::Whole(_) => Ok(()),
+            CallerSink::Full(_) => Ok(()),
         }
     }
 
@@ -168,11 +168,11 @@
         reason: EndReason,
     ) -> Result<(), CallerGone> {
         match self {
-            CallerSink::Events { .. } => self.send(format.closing(reason)).await,
-            CallerSink::Whole(reply) => {
+            CallerSink::Events { .. } => self.send(format.final_events(reason)).await,
+            CallerSink::Full(reply) => {
                 let count = u32::try_from(tokens.len()).unwrap_or(u32::MAX);
-                let whole = format.whole(tokens.concat(), count, reason);
-                give(reply, Ok(whole))
+                let completion = format.full(tokens.concat(), count, reason);
+                send_reply(reply, Ok(completion))
             }
         }
     }
@@ -192,7 +192,7 @@
                 let frame = format!("event: error\ndata: {body}\n\n");
                 self.send(Bytes::from(frame)).await
             }
-            CallerSink::Whole(reply) => give(reply, Err(error)),
+            CallerSink::Full(reply) => send_reply(reply, Err(error)),
         }
     }
 
@@ -200,8 +200,8 @@
     pub async fn closed(&mut self) {
         match self {
             CallerSink::Events { frames, .. } => frames.closed().await,
-            CallerSink::Whole(Some(reply)) => reply.closed().await,
-            CallerSink::Whole(None) => std::future::pending().await,
+            CallerSink::Full(Some(reply)) => reply.closed().await,
+            CallerSink::Full(None) => std::future::pending().await,
         }
     }
 
@@ -218,7 +218,7 @@
     }
 }
 
-fn give(
+fn send_reply(
     reply: &mut Option<oneshot::Sender<Result<Completion, ApiError>>>,
     answer: Result<Completion, ApiError>,
 ) -> Result<(), CallerGone> {
--- a/crates/daemon/src/completion/view.rs
+++ b/crates/daemon/src/completion/config_view.rs
@@ -8,7 +8,7 @@
 
 /// One version of the configuration with its index of keys.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct ConfigView {
     /// Version in force, 0 for none.
     pub version: ConfigVersion,
     /// The configuration.
@@ -17,10 +17,10 @@
     pub keys: KeyIndex,
 }
 
-impl View {
+impl ConfigView {
     /// The view of a configuration that came into force.
     pub fn new(version: ConfigVersion, document: Arc<Document>) -> Self {
-        View {
+        ConfigView {
             version,
             keys: KeyIndex::new(&document),
             document,
--- a/crates/daemon/src/completion/control_message.rs
+++ b/crates/daemon/src/completion/control_message.rs
@@ -72,7 +72,7 @@
         reply: oneshot::Sender<Result<(), Refusal>>,
     },
     /// A call to a plain service wants to be sent to a further runner.
-    CallAgain {
+    CheckQuarantine {
         /// The request.
         request: RequestId,
         /// What it consists of.
@@ -97,7 +97,7 @@
         reply: oneshot::Sender<bool>,
     },
     /// No runner of a service took a call: is that because all rest or are limited?
-    RunnersWait {
+    TimeUntilRunner {
         /// The service.
         service: String,
         /// The time until the first takes one, if so.
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -20,13 +20,13 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
+use crate::completion::config_view::ConfigView;
 use crate::completion::control_message::BackendSnapshot;
 use crate::completion::control_message::ControlMessage;
 use crate::completion::control_message::Decision;
 use crate::completion::control_message::InstanceSnapshot;
 use crate::completion::control_message::Snapshot;
 use crate::completion::control_message::Versions;
-use crate::completion::view::View;
 use crate::engines::suspicion_log::log_suspicion;
 use crate::process::clock::Clock;
 use crate::process::control_sender::ControlSender;
@@ -40,7 +40,7 @@
 /// What the control thread publishes to the traffic threads.
 pub struct ControlOutputs {
     /// The configuration in force.
-    pub view: watch::Receiver<Arc<View>>,
+    pub view: watch::Receiver<Arc<ConfigView>>,
     /// Whether this instance reads the platform.
     pub reads_platform: watch::Receiver<bool>,
     /// Peers to exchange versions with, as they come up.
@@ -65,7 +65,7 @@
         log: Logger,
     ) -> std::io::Result<(ControlHandle, ControlOutputs)> {
         let (sender, inbox) = ControlSender::new();
-        let (view, view_out) = watch::channel(Arc::new(View::default()));
+        let (view, view_out) = watch::channel(Arc::new(ConfigView::default()));
         let (reads, reads_out) = watch::channel(false);
         let (exchanges, exchanges_out) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -75,7 +75,7 @@
             control: Control::new(settings),
             clock,
             log,
-            waiting: HashMap::new(),
+            pending_decisions: HashMap::new(),
             view,
             reads,
             exchanges,
@@ -117,8 +117,8 @@
     control: Control,
     clock: Clock,
     log: Logger,
-    waiting: HashMap<RequestId, oneshot::Sender<Decision>>,
-    view: watch::Sender<Arc<View>>,
+    pending_decisions: HashMap<RequestId, oneshot::Sender<Decision>>,
+    view: watch::Sender<Arc<ConfigView>>,
     reads: watch::Sender<bool>,
     exchanges: mpsc::UnboundedSender<ExchangeTarget>,
 }
@@ -130,7 +130,7 @@
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 _ = ticks.tick() => self.decide(Event::Tick),
@@ -138,18 +138,19 @@
         }
     }
 
-    fn take(&mut self, message: ControlMessage) {
+    fn handle_message(&mut self, message: ControlMessage) {
         let now = self.clock.now();
         // A caller that no longer waits for its answer is no fault.
         match message {
             ControlMessage::Event(event) => {
                 if let Event::Closed { request, .. } = &event {
-                    self.waiting.remove(request);
+                    self.pending_decisions.remove(request);
                 }
                 self.decide(event);
             }
             ControlMessage::Submit { submission, reply } => {
-                self.waiting.insert(submission.request.clone(), reply);
+                self.pending_decisions
+                    .insert(submission.request.clone(), reply);
                 self.decide(Event::Submit(submission));
             }
             ControlMessage::IssueTicket {
@@ -173,7 +174,7 @@
                     .open_call(now, request, &workspace, fingerprint);
                 let _ = reply.send(opened);
             }
-            ControlMessage::CallAgain {
+            ControlMessage::CheckQuarantine {
                 request,
                 fingerprint,
                 reply,
@@ -191,7 +192,7 @@
             ControlMessage::MayReach { backend, reply } => {
                 let _ = reply.send(self.control.may_reach(now, &backend));
             }
-            ControlMessage::RunnersWait { service, reply } => {
+            ControlMessage::TimeUntilRunner { service, reply } => {
                 let _ = reply.send(self.control.time_until_runner(now, &service));
             }
             ControlMessage::Runners { service, reply } => {
@@ -226,14 +227,14 @@
             .control
             .handle(self.clock.now(), self.clock.wall_ms(), event);
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
-        for news in self.control.suspicion_updates() {
-            log_suspicion(&self.log, self.clock.now(), &news);
+        for update in self.control.suspicion_updates() {
+            log_suspicion(&self.log, self.clock.now(), &update);
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Start { request, placement } => self.answer(&request, Ok(placement)),
             Command::Refuse { request, refusal } => {
@@ -253,7 +254,7 @@
     }
 
     fn answer(&mut self, request: &RequestId, decision: Decision) {
-        let Some(reply) = self.waiting.remove(request) else {
+        let Some(reply) = self.pending_decisions.remove(request) else {
             return;
         };
         if reply.send(decision).is_err() {
@@ -268,7 +269,7 @@
     fn publish(&self, version: u64) {
         info!(self.log, "configuration in force"; "version" => version);
         if let Some(offer) = self.control.config().in_force() {
-            let view = View::new(version, offer.document.clone());
+            let view = ConfigView::new(version, offer.document.clone());
             self.view.send_replace(Arc::new(view));
         }
     }
--- a/crates/daemon/src/completion/daemon.rs
+++ b/crates/daemon/src/completion/daemon.rs
@@ -19,7 +19,7 @@
 use tokio::task::JoinHandle;
 
 use crate::completion::app::App;
-use crate::completion::call_book::CallBook;
+use crate::completion::call_store::CallStore;
 use crate::completion::caller_api;
 use crate::completion::control_message::Identity;
 use crate::completion::control_thread::ControlHandle;
@@ -113,9 +113,9 @@
             peers: Arc::new(JsonRpcPeers::new(identity.clone(), keyring)),
             engines: Arc::new(HttpEngines::default()),
             services: HttpClient::unpooled(MAX_SERVICE_ANSWER_BYTES),
-            calls: CallBook::default(),
+            calls: CallStore::default(),
             resources: ResourceLog::default(),
-            places: Arc::new(Semaphore::new(settings.limits.max_streams)),
+            stream_permits: Arc::new(Semaphore::new(settings.limits.max_streams)),
             views: outputs.view,
             control: control.clone(),
             stopping: AtomicBool::new(false),
--- a/crates/daemon/src/completion/generation.rs
+++ b/crates/daemon/src/completion/generation.rs
@@ -23,7 +23,7 @@
 use crate::completion::app::App;
 use crate::completion::caller_sink::AnswerFormat;
 use crate::completion::caller_sink::CallerSink;
-use crate::completion::completion_order::CompletionOrder;
+use crate::completion::validated_completion::ValidatedCompletion;
 use crate::engines::engine_port::EngineStream;
 
 mod attempts;
@@ -34,7 +34,7 @@
 /// What a look at the engine's stream led to.
 enum Step {
     Continue,
-    Whole(EndReason),
+    Complete(EndReason),
     Lost(&'static str),
     Stalled,
     Diverged,
@@ -44,7 +44,7 @@
 /// One generation under way.
 pub struct Generation {
     app: Arc<App>,
-    order: CompletionOrder,
+    completion: ValidatedCompletion,
     owner: String,
     reader: String,
     session: Session,
@@ -52,14 +52,14 @@
     stream: EngineStream,
     placement: Placement,
     failed_engines: Vec<BackendId>,
-    idle_attaches: u32,
+    idle_reattaches: u32,
     /// Whether the caller has its answer's headers: from then on the deadline of
     /// the start no longer counts.
     is_relaying: bool,
     is_closed: bool,
     last_progress: iristhread_core::Now,
     /// When this attempt's first token came.
-    attempt_begun_at: Option<iristhread_core::Now>,
+    first_token_at: Option<iristhread_core::Now>,
     longest_gap: Duration,
 }
 
@@ -69,38 +69,38 @@
     /// # Errors
     ///
     /// An [`ApiError`]; the request is then over and nothing is left running.
-    pub async fn begin(app: Arc<App>, order: CompletionOrder) -> Result<Self, ApiError> {
+    pub async fn begin(app: Arc<App>, completion: ValidatedCompletion) -> Result<Self, ApiError> {
         let now = app.clock.now();
-        let session = match &order.cursor {
-            None => Session::new(order.request.clone(), now),
-            Some(cursor) => resumed_session(&app, &order, cursor)?,
+        let session = match &completion.cursor {
+            None => Session::new(completion.request.clone(), now),
+            Some(cursor) => resumed_session(&app, &completion, cursor)?,
         };
-        let nowhere = Placement {
+        let unplaced = Placement {
             engine: BackendId::new(),
             address: app.settings.caller_address,
             attempt: session.attempt(),
         };
         let mut generation = Generation {
-            owner: order.owner(),
+            owner: completion.owner(),
             reader: uuid::Uuid::new_v4().simple().to_string(),
-            format: AnswerFormat::new(session.generation(), &order.model, order.is_chat),
+            format: AnswerFormat::new(session.generation(), &completion.model, completion.is_chat),
             stream: futures::stream::empty().boxed(),
-            placement: nowhere,
+            placement: unplaced,
             failed_engines: Vec::new(),
-            idle_attaches: 0,
+            idle_reattaches: 0,
             is_relaying: false,
             is_closed: false,
             last_progress: now,
-            attempt_begun_at: None,
+            first_token_at: None,
             longest_gap: Duration::ZERO,
             app,
-            order,
+            completion,
             session,
         };
         match generation.start().await {
             Ok(()) => Ok(generation),
             Err(error) => {
-                let error = generation.as_told(error);
+                let error = generation.adjust_outcome(error);
                 generation.close(error.detail.outcome, &error.detail.code);
                 Err(error)
             }
@@ -114,11 +114,11 @@
             let step = self.step(&mut sink).await;
             let next = match step {
                 Step::Continue => Ok(()),
-                Step::Whole(reason) => return self.end(sink, reason).await,
+                Step::Complete(reason) => return self.end(sink, reason).await,
                 Step::CallerGone => return self.caller_gone().await,
                 Step::Diverged => Err(diverged()),
-                Step::Lost(cause) => self.reattach_or_move(cause).await,
-                Step::Stalled => self.move_on("stalled", true).await,
+                Step::Lost(cause) => self.reattach_or_fail_over(cause).await,
+                Step::Stalled => self.fail_over("stalled", true).await,
             };
             if let Err(error) = next {
                 return self.fail(sink, error).await;
@@ -174,7 +174,7 @@
                 total,
                 reason,
             } => match self.session.end(&generation, attempt, total) {
-                EndVerdict::Whole => Step::Whole(reason),
+                EndVerdict::Whole => Step::Complete(reason),
                 EndVerdict::Foreign => Step::Continue,
                 EndVerdict::Gap => Step::Lost("end mark before the last token"),
             },
@@ -183,8 +183,8 @@
 
     async fn deliver(&mut self, text: &str, sink: &mut CallerSink) -> Step {
         self.measure_gap();
-        self.attempt_begun_at.get_or_insert(self.last_progress);
-        self.idle_attaches = 0;
+        self.first_token_at.get_or_insert(self.last_progress);
+        self.idle_reattaches = 0;
         let known = self.session.known();
         if known == 1 {
             let attempt = self.placement.attempt;
@@ -192,7 +192,7 @@
         }
         if known == 1 || known.is_multiple_of(PROGRESS_EVERY) {
             self.app.control.tell(Event::Progress {
-                request: self.order.request.clone(),
+                request: self.completion.request.clone(),
                 generated: known,
             });
         }
@@ -218,7 +218,7 @@
 
     async fn end(mut self, mut sink: CallerSink, reason: EndReason) {
         self.app.control.tell(Event::AttemptFinished {
-            request: self.order.request.clone(),
+            request: self.completion.request.clone(),
             generated: self.session.known(),
         });
         self.app.metrics.longest_gap(self.longest_gap);
@@ -233,7 +233,7 @@
 
     async fn fail(mut self, mut sink: CallerSink, error: ApiError) {
         self.cancel();
-        let error = self.as_told(error);
+        let error = self.adjust_outcome(error);
         let (outcome, code) = (error.detail.outcome, error.detail.code.clone());
         // The caller may have left as well; there is nobody else to tell.
         let _ = sink.error(error).await;
@@ -241,7 +241,7 @@
     }
 
     /// What ran for a caller that holds tokens is not said not to have run.
-    fn as_told(&self, mut error: ApiError) -> ApiError {
+    fn adjust_outcome(&self, mut error: ApiError) -> ApiError {
         if self.session.delivered() > 0 {
             error.detail.outcome = Outcome::Unknown;
         }
@@ -255,7 +255,7 @@
         tokio::time::sleep(self.app.settings.limits.caller_grace).await;
         self.cancel();
         self.app.control.tell(Event::AttemptLost {
-            request: self.order.request.clone(),
+            request: self.completion.request.clone(),
             engine_failed: false,
         });
         self.close(Outcome::Unknown, "caller left");
@@ -268,15 +268,15 @@
             delivered: self.session.delivered(),
             reason: reason.to_owned(),
         });
-        self.app.metrics.ended(&self.order.workspace, outcome);
+        self.app.metrics.ended(&self.completion.workspace, outcome);
         self.app.control.tell(Event::Closed {
-            request: self.order.request.clone(),
-            workspace: self.order.workspace.clone(),
+            request: self.completion.request.clone(),
+            workspace: self.completion.workspace.clone(),
         });
     }
 
     fn note(&self, event: TimelineEvent) {
-        self.app.control.note(&self.order.request, event);
+        self.app.control.note(&self.completion.request, event);
     }
 }
 
@@ -292,10 +292,10 @@
 
 fn resumed_session(
     app: &App,
-    order: &CompletionOrder,
+    completion: &ValidatedCompletion,
     cursor: &Cursor,
 ) -> Result<Session, ApiError> {
-    let session = Session::resumed(cursor, order.received.clone(), app.clock.now());
+    let session = Session::resumed(cursor, completion.received.clone(), app.clock.now());
     session.ok_or_else(|| {
         let message = "the tokens in `received` are not those that were delivered";
         ApiError::invalid("received_mismatch", Some("received"), message)
--- a/crates/daemon/src/completion/generation/attempts.rs
+++ b/crates/daemon/src/completion/generation/attempts.rs
@@ -22,7 +22,7 @@
 const MAX_ATTEMPTS: Attempt = 12;
 
 /// Connections to the same attempt without a new token between them.
-const MAX_IDLE_ATTACHES: u32 = 2;
+const MAX_IDLE_REATTACHES: u32 = 2;
 
 /// Engines that failed it lately and are not tried again.
 const REMEMBERED_FAILURES: usize = 2;
@@ -32,12 +32,12 @@
 
 impl Generation {
     pub(super) async fn start(&mut self) -> Result<(), ApiError> {
-        let Some(cursor) = self.order.cursor.clone() else {
+        let Some(cursor) = self.completion.cursor.clone() else {
             return self.place().await;
         };
         let delivered = cursor.delivered;
         self.note(TimelineEvent::Reconnected { delivered });
-        if self.attach_to(&cursor).await {
+        if self.attach_at_cursor(&cursor).await {
             return Ok(());
         }
         if !self.session.can_continue() {
@@ -47,7 +47,7 @@
     }
 
     /// Goes on at the engine that the cursor names.
-    async fn attach_to(&mut self, cursor: &Cursor) -> bool {
+    async fn attach_at_cursor(&mut self, cursor: &Cursor) -> bool {
         let view = self.app.view();
         let servers = view.document.backend_servers.iter();
         let Some(server) = servers.into_iter().find(|s| s.name == cursor.engine) else {
@@ -85,7 +85,7 @@
         );
         let answer = attached.await;
         let heard = answer.heard(sent_at, false);
-        self.app.noticed(&self.placement.engine, heard);
+        self.app.observe_notice(&self.placement.engine, heard);
         match answer.result {
             Ok(stream) => {
                 self.stream = stream;
@@ -116,26 +116,26 @@
         let now = self.app.clock.now();
         let (attempt, engine) = (placement.attempt, placement.engine.clone());
         self.session.begin_attempt(attempt, engine, now);
-        self.idle_attaches = 0;
-        self.attempt_begun_at = None;
+        self.idle_reattaches = 0;
+        self.first_token_at = None;
         self.placement = placement;
         let request = GenerateRequest {
             generation: self.session.generation().clone(),
             attempt: self.placement.attempt,
-            model: self.order.model.clone(),
-            adapter: self.order.adapter.clone(),
-            prompt: self.order.prompt.clone(),
+            model: self.completion.model.clone(),
+            adapter: self.completion.adapter.clone(),
+            prompt: self.completion.prompt.clone(),
             received: self.session.tokens().to_vec(),
-            max_tokens: self.order.max_tokens,
-            priority: self.order.priority,
+            max_tokens: self.completion.max_tokens,
+            priority: self.completion.priority,
             reader: self.reader.clone(),
         };
         let address = self.placement.address;
         let sent_at = self.app.clock.now();
         let answer = self.app.engines.generate(address, request).await;
         let heard = answer.heard(sent_at, answer.result.is_ok());
-        self.app.noticed(&self.placement.engine, heard);
-        let asks_for_rest = answer.notice.rest().is_some();
+        self.app.observe_notice(&self.placement.engine, heard);
+        let asks_for_backoff = answer.notice.rest().is_some();
         match answer.result {
             Ok(stream) => {
                 self.stream = stream;
@@ -143,39 +143,42 @@
             }
             Err(error) => {
                 info!(self.app.log, "engine did not take an attempt";
-                    "request" => &self.order.request, "error" => %error);
-                if !error.is_unsent() && !asks_for_rest {
-                    self.look_at_engine().await;
+                    "request" => &self.completion.request, "error" => %error);
+                if !error.is_unsent() && !asks_for_backoff {
+                    self.report_if_crashed().await;
                 }
                 // Rest is no failure.
-                self.lose("not taken", !asks_for_rest);
+                self.attempt_lost("not taken", !asks_for_backoff);
                 false
             }
         }
     }
 
     /// A link may have failed while the engine lives: the same attempt first.
-    pub(super) async fn reattach_or_move(&mut self, cause: &'static str) -> Result<(), ApiError> {
-        while self.idle_attaches < MAX_IDLE_ATTACHES {
-            self.idle_attaches += 1;
+    pub(super) async fn reattach_or_fail_over(
+        &mut self,
+        cause: &'static str,
+    ) -> Result<(), ApiError> {
+        while self.idle_reattaches < MAX_IDLE_REATTACHES {
+            self.idle_reattaches += 1;
             if self.attach().await {
                 return Ok(());
             }
         }
-        self.move_on(cause, true).await
+        self.fail_over(cause, true).await
     }
 
     /// Gives the attempt up and goes on elsewhere from what is known.
-    pub(super) async fn move_on(
+    pub(super) async fn fail_over(
         &mut self,
         cause: &str,
         engine_failed: bool,
     ) -> Result<(), ApiError> {
         self.cancel();
         if engine_failed {
-            self.look_at_engine().await;
+            self.report_if_crashed().await;
         }
-        self.lose(cause, engine_failed);
+        self.attempt_lost(cause, engine_failed);
         if !self.session.can_continue() {
             return Err(stream_lost());
         }
@@ -183,20 +186,20 @@
     }
 
     /// Looks whether the engine of the lost attempt has ended, before another gets it.
-    async fn look_at_engine(&mut self) {
-        let begun_at = self.attempt_begun_at;
+    async fn report_if_crashed(&mut self) {
+        let begun_at = self.first_token_at;
         let is_new = begun_at.is_none();
         if has_ended(self.placement.address, is_new).await {
             let ran_for = begun_at.map(|at| self.app.clock.now().saturating_sub(at));
             self.app.control.tell(Event::ServerCrashed {
                 backend: self.placement.engine.clone(),
-                fingerprint: self.order.fingerprint(),
+                fingerprint: self.completion.fingerprint(),
                 ran_for: ran_for.unwrap_or_default(),
             });
         }
     }
 
-    pub(super) fn lose(&mut self, cause: &str, engine_failed: bool) {
+    pub(super) fn attempt_lost(&mut self, cause: &str, engine_failed: bool) {
         self.app.metrics.attempt_lost(cause);
         self.note(TimelineEvent::AttemptLost {
             attempt: self.placement.attempt,
@@ -209,7 +212,7 @@
             self.failed_engines.remove(0);
         }
         self.app.control.tell(Event::AttemptLost {
-            request: self.order.request.clone(),
+            request: self.completion.request.clone(),
             engine_failed,
         });
     }
@@ -229,7 +232,7 @@
             let sent_at = app.clock.now();
             let cancelled = app.engines.cancel(address, &generation, attempt, &reader);
             let heard = cancelled.await.heard(sent_at, false);
-            app.noticed(&engine, heard);
+            app.observe_notice(&engine, heard);
         });
     }
 
@@ -238,18 +241,18 @@
         let now = self.app.clock.now();
         let deadline = match self.is_relaying {
             true => now + CONTINUE_TIMEOUT,
-            false => self.order.deadline,
+            false => self.completion.deadline,
         };
         Submission {
-            request: self.order.request.clone(),
-            workspace: self.order.workspace.clone(),
-            fingerprint: self.order.fingerprint(),
-            model: self.order.model.clone(),
-            adapter: self.order.adapter.clone(),
-            prompt_tokens: self.order.prompt_tokens,
-            prefix: self.order.prefix(),
+            request: self.completion.request.clone(),
+            workspace: self.completion.workspace.clone(),
+            fingerprint: self.completion.fingerprint(),
+            model: self.completion.model.clone(),
+            adapter: self.completion.adapter.clone(),
+            prompt_tokens: self.completion.prompt_tokens,
+            prefix: self.completion.prefix(),
             generated: self.session.known(),
-            priority: self.order.priority,
+            priority: self.completion.priority,
             deadline,
             attempt,
             exclude: self.failed_engines.clone(),
--- a/crates/daemon/src/completion/service_api.rs
+++ b/crates/daemon/src/completion/service_api.rs
@@ -22,9 +22,9 @@
 use crate::completion::api_error::ApiError;
 use crate::completion::app::App;
 use crate::completion::call_answer::CallAnswer;
-use crate::completion::caller_api::deadline;
+use crate::completion::caller_api::acquire_permit;
 use crate::completion::caller_api::new_request_id;
-use crate::completion::caller_api::take_place;
+use crate::completion::caller_api::request_timeout;
 use crate::completion::control_message::ControlMessage;
 use crate::completion::request_guard;
 use crate::completion::service_call;
@@ -45,12 +45,12 @@
         let message = format!("the service {service:?} is not offered");
         ApiError::not_found("service_not_found", None, message)
     })?;
-    let place = take_place(&app)?;
+    let permit = acquire_permit(&app)?;
     let ticket_text: Option<String> = request.header(TICKET_HEADER);
     if !declared.repeatable && ticket_text.is_none() {
         return issue_ticket(&app, &workspace, &service).await;
     }
-    let timeout = deadline(&request, app.settings.limits.call_timeout);
+    let timeout = request_timeout(&request, app.settings.limits.call_timeout);
     let body = request_guard::body(&app, &mut request).await?;
     let call = ForwardedCall {
         request: new_request_id(),
@@ -67,7 +67,7 @@
     let id = call.request.clone();
     let answer = run(&app, call, declared.repeatable).await;
     opened.end(&answer);
-    drop(place);
+    drop(permit);
     Ok(respond(&id, answer))
 }
 
@@ -179,8 +179,8 @@
 fn respond(request: &str, answer: CallAnswer) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = match (&answer.code, &answer.message) {
-        (Some(code), Some(message)) => own_error(status, code, message, &answer),
-        _ => passed_on(status, &answer),
+        (Some(code), Some(message)) => error_response(status, code, message, &answer),
+        _ => relay_answer(status, &answer),
     };
     let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(request) {
@@ -191,7 +191,7 @@
     response
 }
 
-fn own_error(status: StatusCode, code: &str, message: &str, answer: &CallAnswer) -> Response {
+fn error_response(status: StatusCode, code: &str, message: &str, answer: &CallAnswer) -> Response {
     let mut error = match answer.outcome {
         Outcome::NotRun | Outcome::Ran => ApiError::limit(status, code, message),
         Outcome::Unknown => ApiError::unknown(status, code, message),
@@ -200,7 +200,7 @@
     error.into_response()
 }
 
-fn passed_on(status: StatusCode, answer: &CallAnswer) -> Response {
+fn relay_answer(status: StatusCode, answer: &CallAnswer) -> Response {
     let mut response = Response::new(Body::Full(answer.body.clone().into()));
     *response.status_mut() = status;
     let content_type = answer.content_type.as_deref();
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -32,7 +32,7 @@
 use crate::completion::api_error::whole_seconds;
 use crate::completion::app::App;
 use crate::completion::call_answer::CallAnswer;
-use crate::completion::call_book::AnswerSlot;
+use crate::completion::call_store::AnswerSlot;
 use crate::completion::control_message::ControlMessage;
 use crate::engines::engine_watch::has_ended;
 use crate::peers::peer_message::ForwardedCall;
@@ -77,7 +77,7 @@
             slot.send_replace(Some(answer.clone()));
             answer
         }
-        (SpendVerdict::SameRun, Some(slot)) => answer_of(&slot, &app, keep_until).await,
+        (SpendVerdict::SameRun, Some(slot)) => await_answer(&slot, &app, keep_until).await,
         (SpendVerdict::Forward { instance, .. }, _) => forward(&app, call, instance).await,
         (SpendVerdict::Expired, _) => CallAnswer::not_run(
             410,
@@ -126,18 +126,18 @@
                 let Some(runner) = runners.iter().find(|runner| runner.name == name) else {
                     continue;
                 };
-                if !runner_takes(app, call, runner).await {
+                if !may_call(app, call, runner).await {
                     decisions.sent(SendResult::NotConnected);
                     continue;
                 }
-                if !may_be_sent(app, call).await {
+                if !passes_quarantine(app, call).await {
                     let CallStep::End { outcome, end } = decisions.give_up() else {
                         continue;
                     };
-                    return answer_at_end(outcome, end, last);
+                    return final_answer(outcome, end, last);
                 }
                 let (result, reply) = send(app, call, runner, key, deadline).await;
-                note_end(app, call, runner, result).await;
+                report_result(app, call, runner, result).await;
                 decisions.sent(result);
                 last = reply.or(last);
             }
@@ -145,7 +145,7 @@
                 end: CallEnd::NoRunner,
                 outcome: Outcome::NotRun,
             } => return no_runner(app, call).await,
-            CallStep::End { outcome, end } => return answer_at_end(outcome, end, last),
+            CallStep::End { outcome, end } => return final_answer(outcome, end, last),
         }
     }
 }
@@ -153,13 +153,13 @@
 /// Nobody could run a call: tells when to come back, where that is known.
 async fn no_runner(app: &App, call: &ForwardedCall) -> CallAnswer {
     match time_until_runner(app, &call.service).await {
-        Some(left) => all_wait(left),
-        None => answer_at_end(Outcome::NotRun, CallEnd::NoRunner, None),
+        Some(left) => all_backing_off(left),
+        None => final_answer(Outcome::NotRun, CallEnd::NoRunner, None),
     }
 }
 
 /// A runner may have said something since the runners were ranked.
-async fn runner_takes(app: &App, call: &ForwardedCall, runner: &BackendServer) -> bool {
+async fn may_call(app: &App, call: &ForwardedCall, runner: &BackendServer) -> bool {
     let ask = |reply| ControlMessage::MayCall {
         backend: runner.name.clone(),
         request: call.request.clone(),
@@ -169,14 +169,14 @@
 }
 
 async fn time_until_runner(app: &App, service: &str) -> Option<Duration> {
-    let ask = |reply| ControlMessage::RunnersWait {
+    let ask = |reply| ControlMessage::TimeUntilRunner {
         service: service.to_owned(),
         reply,
     };
     app.control.ask(ask).await.flatten()
 }
 
-fn all_wait(left: Duration) -> CallAnswer {
+fn all_backing_off(left: Duration) -> CallAnswer {
     let message = "all runners of the service have asked for rest or take no more now";
     CallAnswer {
         retry_after_s: Some(whole_seconds(left)),
@@ -185,8 +185,8 @@
 }
 
 /// Asked before each send, also those of forwarded calls.
-async fn may_be_sent(app: &App, call: &ForwardedCall) -> bool {
-    let ask = |reply| ControlMessage::CallAgain {
+async fn passes_quarantine(app: &App, call: &ForwardedCall) -> bool {
+    let ask = |reply| ControlMessage::CheckQuarantine {
         request: call.request.clone(),
         fingerprint: call.fingerprint(),
         reply,
@@ -195,7 +195,12 @@
 }
 
 /// Tells the decisions whether the runner answered, or ended under the call.
-async fn note_end(app: &App, call: &ForwardedCall, runner: &BackendServer, result: SendResult) {
+async fn report_result(
+    app: &App,
+    call: &ForwardedCall,
+    runner: &BackendServer,
+    result: SendResult,
+) {
     let fingerprint = call.fingerprint();
     match result {
         SendResult::Answered | SendResult::Failed => {
@@ -212,9 +217,9 @@
     }
 }
 
-fn answer_at_end(outcome: Outcome, end: CallEnd, reply: Option<Reply>) -> CallAnswer {
+fn final_answer(outcome: Outcome, end: CallEnd, reply: Option<Reply>) -> CallAnswer {
     let mut answer = match (end, reply) {
-        (CallEnd::Answer, Some(reply)) => passed_on(&reply),
+        (CallEnd::Answer, Some(reply)) => relayed_answer(&reply),
         (CallEnd::Deadline, _) => {
             let message = "the deadline or the ticket expired before the call was sent";
             CallAnswer::not_run(504, "deadline", message)
@@ -247,7 +252,7 @@
     let fetched = patience::until(due, app.services.fetch(request)).await;
     let backend = runner.name.clone();
     let (result, cause) = match &fetched {
-        Some(Ok(reply)) => (result_of(reply), None),
+        Some(Ok(reply)) => (classify_reply(reply), None),
         Some(Err(error @ HttpClientError::Connect { .. })) => {
             (SendResult::NotConnected, Some(error.to_string()))
         }
@@ -271,7 +276,7 @@
         sent_at,
         reports_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
     };
-    app.noticed(&backend, heard);
+    app.observe_notice(&backend, heard);
     app.control.tell(match reply {
         Some(_) => Event::BackendAnswered { backend },
         None => Event::BackendFailed { backend },
@@ -298,7 +303,7 @@
 
 /// An answer is the runner's own, unless it says that it did not run the call,
 /// or failed with no word about that.
-fn result_of(reply: &Reply) -> SendResult {
+fn classify_reply(reply: &Reply) -> SendResult {
     let said = header_of(reply, OUTCOME_HEADER);
     if said.as_deref() == Some(Outcome::NotRun.as_str()) {
         return SendResult::SaidNotRun;
@@ -309,7 +314,7 @@
     SendResult::Answered
 }
 
-fn passed_on(reply: &Reply) -> CallAnswer {
+fn relayed_answer(reply: &Reply) -> CallAnswer {
     let content_type = header_of(reply, header::CONTENT_TYPE.as_str());
     CallAnswer::ran(reply.status.as_u16(), content_type, reply.body.to_vec())
 }
@@ -319,7 +324,7 @@
     Some(value.to_owned())
 }
 
-async fn answer_of(slot: &AnswerSlot, app: &App, keep_until: Now) -> CallAnswer {
+async fn await_answer(slot: &AnswerSlot, app: &App, keep_until: Now) -> CallAnswer {
     let mut answers = slot.subscribe();
     let answered = answers.wait_for(Option::is_some);
     let until = app.clock.instant(keep_until);
--- a/crates/daemon/src/completion/completion_order.rs
+++ b/crates/daemon/src/completion/validated_completion.rs
@@ -19,7 +19,7 @@
 
 /// What a caller ordered.
 #[derive(Clone, Debug)]
-pub struct CompletionOrder {
+pub struct ValidatedCompletion {
     /// Id of the request: of the generation, followed by `.` and an id of its
     /// own when the caller has come back.
     pub request: RequestId,
@@ -62,7 +62,7 @@
     pub last_event_id: Option<String>,
 }
 
-impl CompletionOrder {
+impl ValidatedCompletion {
     /// Checks a request.
     ///
     /// # Errors
@@ -80,7 +80,7 @@
         let max_tokens = check_max_tokens(model, prompt_tokens, body.max_tokens)?;
         let workspace = document.workspace(&context.workspace);
         let default_priority = workspace.map_or(0, |w: &Workspace| w.priority);
-        let mut order = CompletionOrder {
+        let mut completion = ValidatedCompletion {
             request: context.request,
             workspace: context.workspace,
             model: body.model,
@@ -95,15 +95,15 @@
             received: body.received,
         };
         if let Some(text) = context.last_event_id {
-            let cursor = Cursor::decode(&text, &order.owner(), keyring);
+            let cursor = Cursor::decode(&text, &completion.owner(), keyring);
             let cursor = cursor.map_err(|error| {
                 let message = format!("{error}, or the body is not the one it was issued for");
                 ApiError::invalid("invalid_cursor", Some("Last-Event-ID"), message)
             })?;
-            order.request = format!("{}.{}", cursor.generation, order.request);
-            order.cursor = Some(cursor);
+            completion.request = format!("{}.{}", cursor.generation, completion.request);
+            completion.cursor = Some(cursor);
         }
-        Ok(order)
+        Ok(completion)
     }
 
     /// Whom a cursor belongs to: the workspace and the body.
--- a/crates/daemon/src/engines/load_poller.rs
+++ b/crates/daemon/src/engines/load_poller.rs
@@ -38,7 +38,7 @@
     let sent_at = app.clock.now();
     let answer = app.engines.load(address).await;
     let asks_for_rest = answer.notice.rest().is_some();
-    app.noticed(&backend, answer.heard(sent_at, false));
+    app.observe_notice(&backend, answer.heard(sent_at, false));
     app.control.tell(match answer.result {
         Ok(report) => Event::Report { backend, report },
         // Rest is no failure.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -41,7 +41,7 @@
 pub use gateway::gateway_metrics::GatewayMetrics;
 pub use gateway::gateway_settings::GatewaySettings;
 pub use operators::resource_log::ResourceLog;
-pub use operators::resource_log::TooOld;
+pub use operators::resource_log::VersionTooOld;
 pub use peers::heartbeat::Datagram;
 pub use peers::heartbeat::Heartbeat;
 pub use peers::heartbeat::HeartbeatFault;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -13,9 +13,9 @@
 
 mod flags;
 
-const COULD_NOT_START: u8 = 1;
-const SETTINGS_FAULTS: u8 = 2;
-const STREAMS_LEFT: u8 = 3;
+const EXIT_START_FAILED: u8 = 1;
+const EXIT_SETTINGS_FAULTS: u8 = 2;
+const EXIT_STREAMS_LEFT: u8 = 3;
 
 fn main() -> ExitCode {
     let flags = Iristhreadd::from_env_or_exit();
@@ -23,7 +23,7 @@
         Ok(settings) => settings,
         Err(faults) => {
             faults.iter().for_each(|fault| eprintln!("{fault}"));
-            return ExitCode::from(SETTINGS_FAULTS);
+            return ExitCode::from(EXIT_SETTINGS_FAULTS);
         }
     };
     if flags.check {
@@ -32,10 +32,10 @@
     }
     match run(settings) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(STREAMS_LEFT),
+        Ok(false) => ExitCode::from(EXIT_STREAMS_LEFT),
         Err(error) => {
             eprintln!("{}: {error}", flags.settings.display());
-            ExitCode::from(COULD_NOT_START)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
@@ -49,8 +49,8 @@
     let (log, last_lines) = logger(&settings.instance, &settings.zone, settings.log_level);
     let finished = runtime.block_on(async {
         let daemon = Daemon::start(settings, log).await?;
-        announce(&daemon);
-        stop_signal().await?;
+        print_addresses(&daemon);
+        wait_for_stop_signal().await?;
         Ok(daemon.stop().await)
     });
     if !last_lines.written() {
@@ -60,12 +60,12 @@
 }
 
 /// One JSON line with the addresses, for whoever started this with port 0.
-fn announce(daemon: &Daemon) {
+fn print_addresses(daemon: &Daemon) {
     let line = serde_json::to_string(&daemon.addresses()).unwrap_or_default();
     println!("{line}");
 }
 
-async fn stop_signal() -> std::io::Result<()> {
+async fn wait_for_stop_signal() -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -17,10 +17,10 @@
 use crate::peers::peer_message::PeerRequest;
 
 /// Longest wait for one instance.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Instances asked at once.
-const MAX_AT_ONCE: usize = 32;
+/// Instances queries at once.
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
 /// The time line over all instances that can be reached, in order.
 pub async fn timeline(app: &App, after: HybridTime, request: Option<String>) -> FleetTimeline {
@@ -32,8 +32,8 @@
     };
     let mut records = app.control.ask(ask).await.unwrap_or_default();
     let mut unreachable = Vec::new();
-    let question = PeerRequest::Timeline { after, request };
-    for (instance, answer) in ask_all(app, question).await {
+    let query = PeerRequest::Timeline { after, request };
+    for (instance, answer) in query_all(app, query).await {
         match answer {
             Some(PeerReply::Timeline { records: theirs }) => records.extend(theirs),
             _ => unreachable.push(instance),
@@ -60,7 +60,7 @@
         format!("version {version}: {}", named.join("; "))
     });
     lines.insert(app.identity.instance.clone(), own);
-    for (instance, answer) in ask_all(app, PeerRequest::Exchange(versions)).await {
+    for (instance, answer) in query_all(app, PeerRequest::Exchange(versions)).await {
         let line = match answer {
             Some(PeerReply::Exchange { versions, .. }) => {
                 InstanceStatus::reached(versions.config_version, versions.config_age_ms)
@@ -72,25 +72,28 @@
     lines
 }
 
-async fn ask_all(app: &App, question: PeerRequest) -> Vec<(String, Option<PeerReply>)> {
+async fn query_all(app: &App, query: PeerRequest) -> Vec<(String, Option<PeerReply>)> {
     let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await.unwrap_or_default().into_iter();
     let others = entries.filter(|entry| entry.instance != app.identity.instance);
-    let asked = others.map(|entry| ask_one(app, entry, question.clone()));
-    stream::iter(asked)
-        .buffer_unordered(MAX_AT_ONCE)
+    let queries = others.map(|entry| query_instance(app, entry, query.clone()));
+    stream::iter(queries)
+        .buffer_unordered(MAX_CONCURRENT_QUERIES)
         .collect()
         .await
 }
 
-async fn ask_one(
+async fn query_instance(
     app: &App,
     entry: InstanceEntry,
-    question: PeerRequest,
+    query: PeerRequest,
 ) -> (String, Option<PeerReply>) {
     let instance = entry.instance.clone();
-    let answer = app
-        .peers
-        .ask(instance.clone(), entry.peer_address, question, TIMEOUT);
+    let answer = app.peers.ask(
+        instance.clone(),
+        entry.peer_address,
+        query,
+        INSTANCE_TIMEOUT,
+    );
     (instance, answer.await.ok())
 }
--- a/crates/daemon/src/operators/operator_api.rs
+++ b/crates/daemon/src/operators/operator_api.rs
@@ -22,9 +22,9 @@
 
 use crate::completion::api_error::ApiError;
 use crate::completion::app::App;
-use crate::completion::caller_api::answered;
 use crate::completion::caller_api::json;
 use crate::completion::caller_api::no_such_path;
+use crate::completion::caller_api::respond_with;
 use crate::completion::request_guard;
 use crate::operators::fleet;
 use crate::operators::resource_builder;
@@ -52,18 +52,20 @@
     let status_of = app.clone();
     Router::new()
         .get("/v1/resources/:kind", move |r: Request| {
-            answered(resources(all.clone(), r))
+            respond_with(resources(all.clone(), r))
         })
         .get("/v1/resources/:kind/:name", move |r: Request| {
-            answered(resources(one.clone(), r))
+            respond_with(resources(one.clone(), r))
         })
         .get("/v1/timeline", move |r: Request| {
-            answered(timeline(timeline_of.clone(), r))
+            respond_with(timeline(timeline_of.clone(), r))
         })
         .get("/v1/status", move |r: Request| {
-            answered(status(status_of.clone(), r))
+            respond_with(status(status_of.clone(), r))
+        })
+        .any("/*", |_: Request| {
+            respond_with(async { Err(no_such_path()) })
         })
-        .any("/*", |_: Request| answered(async { Err(no_such_path()) }))
 }
 
 async fn resources(app: Arc<App>, request: Request) -> Result<Response, ApiError> {
--- a/crates/daemon/src/operators/resource_builder.rs
+++ b/crates/daemon/src/operators/resource_builder.rs
@@ -19,10 +19,10 @@
 use crate::operators::resource_log::Resources;
 
 /// Time between two looks for changes.
-const INTERVAL: Duration = Duration::from_millis(500);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Silence after which an instance is shown as silent.
-const SILENT_MS: u64 = 30_000;
+const SILENT_AFTER_MS: u64 = 30_000;
 
 /// Runs for the life of the process. Resources are compared only while somebody
 /// watches: at the target size that takes longer than all else that is periodic.
@@ -34,7 +34,7 @@
         if app.resources.is_watched() {
             refresh(&app).await;
         }
-        tokio::time::sleep(INTERVAL).await;
+        tokio::time::sleep(REFRESH_INTERVAL).await;
     }
 }
 
@@ -61,24 +61,24 @@
     resources
 }
 
-type Named = BTreeMap<String, Resource>;
+type ResourcesByName = BTreeMap<String, Resource>;
 
-fn models(document: &Document, snapshot: &Snapshot) -> Named {
+fn models(document: &Document, snapshot: &Snapshot) -> ResourcesByName {
     let served_by = |model: &str| -> Vec<&str> {
         let serves = |s: &&iristhread_core::BackendServer| s.models.iter().any(|m| m == model);
         let servers = document.backend_servers.iter().filter(serves);
-        let well = servers.filter(|s| ruled_out(snapshot, &s.name).is_none());
-        well.map(|s| s.name.as_str()).collect()
+        let available = servers.filter(|s| ruled_out(snapshot, &s.name).is_none());
+        available.map(|s| s.name.as_str()).collect()
     };
     let models = document.models.iter();
-    named(
+    resources_by_name(
         models,
         |m| &m.name,
         |m| json!({ "engines": served_by(&m.name) }),
     )
 }
 
-fn adapters(document: &Document, snapshot: &Snapshot) -> Named {
+fn adapters(document: &Document, snapshot: &Snapshot) -> ResourcesByName {
     let held_by = |adapter: &str| -> Vec<&str> {
         let holds = |b: &&BackendSnapshot| {
             let report = b.report.as_ref();
@@ -88,14 +88,14 @@
         holders.map(|b| b.name.as_str()).collect()
     };
     let adapters = document.adapters.iter();
-    named(
+    resources_by_name(
         adapters,
         |a| &a.name,
         |a| json!({ "engines": held_by(&a.name) }),
     )
 }
 
-fn versions(document: &Document) -> Named {
+fn versions(document: &Document) -> ResourcesByName {
     let models = document.models.iter();
     let lines = models.map(|model| {
         let name = format!("{}@{}", model.name, model.version);
@@ -105,7 +105,7 @@
     lines.collect()
 }
 
-fn engine_roles(document: &Document) -> Named {
+fn engine_roles(document: &Document) -> ResourcesByName {
     let servers = document.backend_servers.iter();
     let engines = servers.filter(|server| server.kind == BackendKind::Engine);
     let lines = engines.map(|engine| {
@@ -116,7 +116,7 @@
     lines.collect()
 }
 
-fn workspaces(document: &Document, snapshot: &Snapshot) -> Named {
+fn workspaces(document: &Document, snapshot: &Snapshot) -> ResourcesByName {
     let open: BTreeMap<&String, u32> = snapshot
         .open_requests
         .iter()
@@ -135,7 +135,7 @@
     lines.collect()
 }
 
-fn backend_servers(document: &Document, snapshot: &Snapshot) -> Named {
+fn backend_servers(document: &Document, snapshot: &Snapshot) -> ResourcesByName {
     let observed = |name: &str| {
         let found = snapshot
             .backends
@@ -144,7 +144,7 @@
         found.map_or(Value::Null, observed_backend)
     };
     let servers = document.backend_servers.iter();
-    named(servers, |s| &s.name, |s| observed(&s.name))
+    resources_by_name(servers, |s| &s.name, |s| observed(&s.name))
 }
 
 /// The sequence number of a report changes all the time and is left out.
@@ -156,7 +156,7 @@
     observed
 }
 
-fn instances(snapshot: &Snapshot) -> Named {
+fn instances(snapshot: &Snapshot) -> ResourcesByName {
     let lines = snapshot.instances.iter().map(|line| {
         let name = line.entry.instance.clone();
         (
@@ -173,7 +173,7 @@
     };
     let is_silent = line
         .silence_ms
-        .is_none_or(|silence_ms| silence_ms > SILENT_MS);
+        .is_none_or(|silence_ms| silence_ms > SILENT_AFTER_MS);
     json!({ "incarnation": incarnation, "config_version": version, "is_silent": is_silent })
 }
 
@@ -185,11 +185,11 @@
     found?.ruled_out.as_deref()
 }
 
-fn named<'a, Item: Serialize + 'a>(
+fn resources_by_name<'a, Item: Serialize + 'a>(
     items: impl Iterator<Item = &'a Item>,
     name: impl Fn(&Item) -> &String,
     observed: impl Fn(&Item) -> Value,
-) -> Named {
+) -> ResourcesByName {
     let lines = items.map(|item| {
         let name = name(item).clone();
         (name.clone(), resource(name, declared(item), observed(item)))
--- a/crates/daemon/src/operators/resource_log.rs
+++ b/crates/daemon/src/operators/resource_log.rs
@@ -26,7 +26,7 @@
 
 /// The changes after a version are no longer kept.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TooOld {
+pub struct VersionTooOld {
     /// The oldest version that a watch can start from.
     pub oldest: u64,
 }
@@ -78,12 +78,12 @@
     ///
     /// # Errors
     ///
-    /// [`TooOld`] when some of them are no longer kept.
-    pub fn changes(&self, kind: &str, after: u64) -> Result<Vec<ResourceEvent>, TooOld> {
+    /// [`VersionTooOld`] when some of them are no longer kept.
+    pub fn changes(&self, kind: &str, after: u64) -> Result<Vec<ResourceEvent>, VersionTooOld> {
         let state = self.lock();
         let kept_from = state.version - state.changes.len() as u64;
         if after < kept_from {
-            return Err(TooOld { oldest: kept_from });
+            return Err(VersionTooOld { oldest: kept_from });
         }
         let wanted = state
             .changes
--- a/crates/daemon/src/platform/platform_port.rs
+++ b/crates/daemon/src/platform/platform_port.rs
@@ -15,7 +15,7 @@
 const MAX_VALUE_BYTES: usize = 2 << 20;
 
 /// Longest rest of a connection between two watches; one that rests may fall silent.
-const LONGEST_REST: Duration = Duration::from_millis(300);
+const MAX_IDLE: Duration = Duration::from_millis(300);
 
 /// Time on top of a watch after which the platform counts as silent.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -28,19 +28,19 @@
     Http(#[from] HttpClientError),
     /// No answer in time.
     #[error("the platform did not answer in time")]
-    Silent,
+    TimedOut,
 }
 
 /// Result of a watch; `None` when nothing changed while it waited.
-pub type Watched<T> = Result<Option<T>, PlatformError>;
+pub type WatchResult<T> = Result<Option<T>, PlatformError>;
 
 /// Reads and watches; nothing can be written.
 pub trait PlatformPort: Send + Sync {
     /// Waits for a configuration other than `after`.
-    fn config(&self, after: u64, wait: Duration) -> BoxFuture<'_, Watched<ConfigReply>>;
+    fn config(&self, after: u64, wait: Duration) -> BoxFuture<'_, WatchResult<ConfigReply>>;
 
     /// Waits for an instance list other than `after`.
-    fn instances(&self, after: u64, wait: Duration) -> BoxFuture<'_, Watched<InstancesReply>>;
+    fn instances(&self, after: u64, wait: Duration) -> BoxFuture<'_, WatchResult<InstancesReply>>;
 }
 
 /// The platform over HTTP.
@@ -53,7 +53,7 @@
     /// A platform at an address.
     pub fn new(address: SocketAddr) -> Self {
         HttpPlatform {
-            client: HttpClient::resting(MAX_VALUE_BYTES, LONGEST_REST),
+            client: HttpClient::resting(MAX_VALUE_BYTES, MAX_IDLE),
             address,
         }
     }
@@ -63,7 +63,7 @@
         what: &str,
         after: u64,
         wait: Duration,
-    ) -> Watched<T> {
+    ) -> WatchResult<T> {
         let wait_ms = wait.as_millis();
         let uri = format!(
             "http://{}/{what}?after={after}&wait_ms={wait_ms}",
@@ -72,17 +72,17 @@
         let answer = self.client.json(HttpClient::get(&uri)?);
         match tokio::time::timeout(wait + ANSWER_TIMEOUT, answer).await {
             Ok(answer) => Ok(answer?),
-            Err(_) => Err(PlatformError::Silent),
+            Err(_) => Err(PlatformError::TimedOut),
         }
     }
 }
 
 impl PlatformPort for HttpPlatform {
-    fn config(&self, after: u64, wait: Duration) -> BoxFuture<'_, Watched<ConfigReply>> {
+    fn config(&self, after: u64, wait: Duration) -> BoxFuture<'_, WatchResult<ConfigReply>> {
         Box::pin(self.watch("config", after, wait))
     }
 
-    fn instances(&self, after: u64, wait: Duration) -> BoxFuture<'_, Watched<InstancesReply>> {
+    fn instances(&self, after: u64, wait: Duration) -> BoxFuture<'_, WatchResult<InstancesReply>> {
         Box::pin(self.watch("instances", after, wait))
     }
 }
--- a/crates/daemon/src/platform/platform_reader.rs
+++ b/crates/daemon/src/platform/platform_reader.rs
@@ -18,14 +18,14 @@
 use crate::platform::platform_port::PlatformPort;
 
 /// How long one watch waits at the platform.
-const WATCH: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Pause after a failed read, and the longest after several.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
 
 /// Least time between two reads, whatever the platform answers.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_READ_PAUSE: Duration = Duration::from_millis(50);
 
 /// Span over which first reads are spread.
 const START_SPREAD: Duration = Duration::from_millis(300);
@@ -65,19 +65,19 @@
     async fn watch_config(&self) {
         self.spread_start().await;
         let mut seen = 0;
-        let mut pause = FIRST_PAUSE;
+        let mut retry_delay = INITIAL_RETRY_DELAY;
         loop {
-            self.until_reading().await;
+            self.wait_until_reader().await;
             let sent = Instant::now();
-            match self.platform.config(seen, WATCH).await {
+            match self.platform.config(seen, WATCH_TIMEOUT).await {
                 Ok(answer) => {
-                    pause = FIRST_PAUSE;
+                    retry_delay = INITIAL_RETRY_DELAY;
                     seen = answer.as_ref().map_or(seen, |config| config.version);
-                    let quiet_for = answer.is_none().then_some(WATCH);
+                    let quiet_for = answer.is_none().then_some(WATCH_TIMEOUT);
                     self.take_config(seen, answer, age(sent.elapsed(), quiet_for));
-                    tokio::time::sleep(LEAST_PAUSE).await;
+                    tokio::time::sleep(MIN_READ_PAUSE).await;
                 }
-                Err(error) => pause = self.failed(&error, pause).await,
+                Err(error) => retry_delay = self.failed(&error, retry_delay).await,
             }
         }
     }
@@ -85,12 +85,12 @@
     async fn watch_instances(&self) {
         self.spread_start().await;
         let mut seen = 0;
-        let mut pause = FIRST_PAUSE;
+        let mut retry_delay = INITIAL_RETRY_DELAY;
         loop {
-            self.until_reading().await;
-            match self.platform.instances(seen, WATCH).await {
+            self.wait_until_reader().await;
+            match self.platform.instances(seen, WATCH_TIMEOUT).await {
                 Ok(answer) => {
-                    pause = FIRST_PAUSE;
+                    retry_delay = INITIAL_RETRY_DELAY;
                     if let Some(list) = answer {
                         seen = list.version;
                         self.control.tell(Event::InstanceListOffered {
@@ -98,9 +98,9 @@
                             entries: list.entries,
                         });
                     }
-                    tokio::time::sleep(LEAST_PAUSE).await;
+                    tokio::time::sleep(MIN_READ_PAUSE).await;
                 }
-                Err(error) => pause = self.failed(&error, pause).await,
+                Err(error) => retry_delay = self.failed(&error, retry_delay).await,
             }
         }
     }
@@ -114,11 +114,11 @@
             .tell(Event::ConfigConfirmed { version: seen, ago });
     }
 
-    async fn failed(&self, error: &PlatformError, pause: Duration) -> Duration {
+    async fn failed(&self, error: &PlatformError, retry_delay: Duration) -> Duration {
         warn!(self.log, "reading the platform failed"; "error" => %error);
         let jitter = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(pause.mul_f64(jitter)).await;
-        (pause * 2).min(LONGEST_PAUSE)
+        tokio::time::sleep(retry_delay.mul_f64(jitter)).await;
+        (retry_delay * 2).min(MAX_RETRY_DELAY)
     }
 
     /// Spreads the first reads of instances that all start at once.
@@ -127,7 +127,7 @@
         tokio::time::sleep(START_SPREAD.mul_f64(share)).await;
     }
 
-    async fn until_reading(&self) {
+    async fn wait_until_reader(&self) {
         let mut reads = self.reads.clone();
         // Fails only when the process is stopping.
         let _ = reads.wait_for(|reads| *reads).await;
--- a/crates/daemon/tests/resource_log.rs
+++ b/crates/daemon/tests/resource_log.rs
@@ -6,7 +6,7 @@
 use iristhread_api::Resource;
 use iristhread_api::ResourceEvent;
 use iristhread_daemon::ResourceLog;
-use iristhread_daemon::TooOld;
+use iristhread_daemon::VersionTooOld;
 use serde_json::json;
 
 fn with_weight(weight: u64) -> BTreeMap<&'static str, BTreeMap<String, Resource>> {
@@ -52,6 +52,9 @@
     (0..5_000).for_each(|weight| log.update(with_weight(weight)));
     let (version, _) = log.list("workspaces");
     assert_eq!(version, 5_000);
-    assert_eq!(log.changes("workspaces", 10), Err(TooOld { oldest: 904 }));
+    assert_eq!(
+        log.changes("workspaces", 10),
+        Err(VersionTooOld { oldest: 904 })
+    );
     assert_eq!(log.changes("workspaces", 904).unwrap().len(), 4_096);
 }
