--- a/crates/daemon/src/completion.rs
+++ b/crates/daemon/src/completion.rs
@@ -1,4 +1,4 @@
-//! The completion interface: callers, calls with tickets, generations, and its settings.
+//! The completion interface: the API for callers, calls with tickets, generations and settings.
 
 pub(crate) mod api_error;
 pub(crate) mod app;
--- a/crates/daemon/src/completion/api_error.rs
+++ b/crates/daemon/src/completion/api_error.rs
@@ -1,4 +1,4 @@
-//! Errors towards callers and operators, in the shape of completion APIs.
+//! Errors sent to callers and operators, in the format of completion APIs.
 
 use std::time::Duration;
 
@@ -19,27 +19,28 @@
 const LIMIT: &str = "limit_error";
 const SERVER: &str = "server_error";
 
-/// An error with its status.
+/// An error with its HTTP status.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApiError {
     /// HTTP status.
     pub status: StatusCode,
-    /// Body.
+    /// Body of the response.
     pub detail: Box<ErrorDetail>,
 }
 
 impl ApiError {
-    /// A fault of the request; it was not run.
+    /// Creates a 400 error for an invalid request; it was not run.
     pub fn invalid(code: &str, param: Option<&str>, message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BAD_REQUEST, INVALID_REQUEST, code, message).with_param(param)
     }
 
-    /// Something that the request names is not there.
+    /// Creates a 404 error for something that the request names and that does not exist.
     pub fn not_found(code: &str, param: Option<&str>, message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::NOT_FOUND, INVALID_REQUEST, code, message).with_param(param)
     }
 
-    /// No key or a wrong one; says nothing more.
+    /// Creates a 401 error for a missing or wrong key. The two are not distinguished, so that the
+    /// answer reveals nothing about keys.
     pub fn unauthenticated() -> Self {
         let message = "a valid bearer key is needed";
         Self::not_run(
@@ -50,26 +51,27 @@
         )
     }
 
-    /// A limit of the instance; the message names it.
+    /// Creates an error for a limit of the instance; the message names the limit.
     pub fn limit(status: StatusCode, code: &str, message: impl Into<String>) -> Self {
         Self::not_run(status, LIMIT, code, message)
     }
 
-    /// The instance can't do it now.
+    /// Creates a 503 error for something that the instance can't do now; a retry is advised after
+    /// 1 s.
     pub fn unavailable(code: &str, message: impl Into<String>) -> Self {
         let retry_after = Some(Duration::from_secs(1));
         Self::not_run(StatusCode::SERVICE_UNAVAILABLE, SERVER, code, message)
             .with_retry_after(retry_after)
     }
 
-    /// It was started, and can't be said to have ended.
+    /// Creates an error for a request that was started and whose outcome is not known.
     pub fn unknown(status: StatusCode, code: &str, message: impl Into<String>) -> Self {
         let mut error = Self::not_run(status, SERVER, code, message);
         error.detail.outcome = Outcome::Unknown;
         error
     }
 
-    /// A refusal of the decisions.
+    /// Creates the error for a refusal by the control thread.
     pub fn refused(refusal: &Refusal) -> Self {
         let (status, kind) = match refusal.kind {
             RefusalKind::RateLimit | RefusalKind::ConcurrencyLimit | RefusalKind::QueueFull => {
@@ -89,14 +91,14 @@
             .with_retry_after(Some(refusal.retry_after))
     }
 
-    /// Adds when to come back; at least a second.
+    /// Adds the time to wait before a retry, at least one second.
     #[must_use]
     pub fn with_retry_after(mut self, retry_after: Option<Duration>) -> Self {
         self.detail.retry_after_s = retry_after.map(whole_seconds);
         self
     }
 
-    /// The answer.
+    /// Converts the error into its HTTP response.
     pub fn into_response(self) -> Response {
         let retry_after_s = self.detail.retry_after_s;
         let outcome = self.detail.outcome;
@@ -141,7 +143,7 @@
     }
 }
 
-/// A time to come back in whole seconds, never too short, at least one.
+/// Rounds a time up to whole seconds, at least one, so that a retry never comes too early.
 pub fn whole_seconds(time: Duration) -> u64 {
     time.as_secs_f64().ceil().max(1.0) as u64
 }
--- a/crates/daemon/src/completion/app.rs
+++ b/crates/daemon/src/completion/app.rs
@@ -1,4 +1,4 @@
-//! What the traffic tasks of one process share.
+//! State shared by the traffic tasks of one process.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -24,45 +24,46 @@
 use crate::process::clock::Clock;
 use crate::process::metrics::Metrics;
 
-/// Shared by all tasks; every field is safe to use from any thread.
+/// State shared by all tasks; every field can be used from any thread.
 pub struct App {
-    /// Settings.
+    /// Settings of this instance.
     pub settings: Settings,
-    /// Who this process is.
+    /// Instance and incarnation of this process.
     pub identity: Identity,
-    /// Clocks.
+    /// Monotonic and wall clock of this process.
     pub clock: Clock,
-    /// Decisions.
+    /// Handle of the control thread.
     pub control: ControlHandle,
-    /// Configuration in force.
+    /// The configuration in force, updated by the control thread.
     pub views: watch::Receiver<Arc<ConfigView>>,
-    /// Engines.
+    /// Client for engines.
     pub engines: Arc<dyn EnginePort>,
-    /// Other instances.
+    /// Client for the other instances.
     pub peers: Arc<dyn PeerPort>,
-    /// Client for plain services: a connection per call.
+    /// Client for plain services; opens a connection per call.
     pub services: HttpClient,
-    /// Answers of calls with a ticket.
+    /// Answers to calls with a ticket.
     pub calls: CallStore,
-    /// Changes of resources.
+    /// Log of changes to resources.
     pub resources: ResourceLog,
-    /// Places for streams and calls.
+    /// One permit per stream or call; the number is `max_streams`.
     pub stream_permits: Arc<Semaphore>,
-    /// Metrics.
+    /// Metrics of this process.
     pub metrics: Metrics,
-    /// Logger.
+    /// Logger of this process.
     pub log: Logger,
-    /// Whether a planned stop has begun.
+    /// Whether a planned stop has begun; the instance is then not ready.
     pub stopping: AtomicBool,
 }
 
 impl App {
-    /// The configuration in force now.
+    /// Returns the configuration in force now.
     pub fn view(&self) -> Arc<ConfigView> {
         self.views.borrow().clone()
     }
 
-    /// Notes what an answer said of its engine or runner.
+    /// Passes the server notice of an answer to the control thread, and logs it. An empty notice
+    /// is passed on only if the answer reports limits: it then ends an earlier limit.
     pub fn observe_notice(&self, backend: &str, heard: ObservedNotice) {
         let notice = &heard.notice;
         if notice.is_empty() && !heard.reports_limits {
@@ -75,7 +76,7 @@
         if notice.is_empty() {
             return;
         }
-        info!(self.log, "answer tells of its backend server";
+        info!(self.log, "server notice received";
             "backend_server" => backend,
             "leaving" => notice.is_leaving,
             "rest_ms" => notice.rest().map(|rest| rest.as_millis() as u64),
@@ -83,7 +84,7 @@
             "unreadable" => notice.is_unreadable());
     }
 
-    /// Whether callers should be sent here.
+    /// Whether this instance takes requests: a configuration is in force and no stop has begun.
     pub fn is_ready(&self) -> bool {
         !self.stopping.load(Ordering::Relaxed) && self.view().version > 0
     }
--- a/crates/daemon/src/completion/call_answer.rs
+++ b/crates/daemon/src/completion/call_answer.rs
@@ -1,30 +1,30 @@
-//! What became of a call to a plain service.
+//! The result of a call to a plain service.
 
 use iristhread_core::Outcome;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The final answer of a call; the same for every delivery of its ticket.
+/// The final answer to a call; the same for every delivery of its ticket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallAnswer {
-    /// Whether it ran.
+    /// Whether the call ran.
     pub outcome: Outcome,
-    /// Status towards the caller.
+    /// HTTP status for the caller.
     pub status: u16,
-    /// Stable code of the error, if it is one of this system.
+    /// Stable error code, if the error is reported by this system.
     pub code: Option<String>,
-    /// A sentence for the caller, if it is an error of this system.
+    /// Error message, if the error is reported by this system.
     pub message: Option<String>,
-    /// Seconds after which a retry makes sense.
+    /// Seconds that the caller should wait before a retry.
     pub retry_after_s: Option<u64>,
-    /// Type of the body.
+    /// `Content-Type` of the body.
     pub content_type: Option<String>,
-    /// Body of the backend server's answer.
+    /// Body of the backend server's answer; empty for errors of this system.
     pub body: Vec<u8>,
 }
 
 impl CallAnswer {
-    /// The backend server's own answer.
+    /// Creates the answer for a call that the backend server answered itself.
     pub fn ran(status: u16, content_type: Option<String>, body: Vec<u8>) -> Self {
         CallAnswer {
             outcome: Outcome::Ran,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Proved not to have run.
+    /// Creates the answer for a call that certainly did not run; a retry is advised after 1 s.
     pub fn not_run(status: u16, code: &str, message: impl Into<String>) -> Self {
         CallAnswer {
             retry_after_s: Some(1),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// May have run.
+    /// Creates the answer for a call that may have run, with status 502.
     pub fn unknown(code: &str, message: impl Into<String>) -> Self {
         Self::error(Outcome::Unknown, 502, code, message)
     }
--- a/crates/daemon/src/completion/call_store.rs
+++ b/crates/daemon/src/completion/call_store.rs
@@ -1,4 +1,4 @@
-//! Answers of calls with a ticket, for every delivery of the same ticket.
+//! Stores answers to calls with a ticket, for repeated deliveries of the same ticket.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -10,7 +10,7 @@
 
 use crate::completion::call_answer::CallAnswer;
 
-/// A place where the answer of a call appears.
+/// Holds the answer to a call once it is known; repeated deliveries subscribe to it.
 pub type AnswerSlot = watch::Sender<Option<CallAnswer>>;
 
 #[derive(Debug)]
@@ -19,14 +19,14 @@
     keep_until: Now,
 }
 
-/// Slots by ticket number; they live as long as their tickets.
+/// Answer slots by ticket number; each is kept until its ticket expires.
 #[derive(Debug, Default)]
 pub struct CallStore {
     slots: Mutex<HashMap<String, Slot>>,
 }
 
 impl CallStore {
-    /// The slot of a ticket, made when it is first asked for.
+    /// Returns the slot of a ticket, and creates it if there is none.
     pub fn slot(&self, number: &str, keep_until: Now) -> AnswerSlot {
         let mut slots = self.lock();
         let slot = slots.entry(number.to_owned()).or_insert_with(|| Slot {
@@ -36,7 +36,7 @@
         slot.answer.clone()
     }
 
-    /// Drops the slots of tickets that have expired.
+    /// Drops the slots of expired tickets.
     pub fn forget_expired(&self, now: Now) {
         self.lock().retain(|_, slot| slot.keep_until > now);
     }
--- a/crates/daemon/src/completion/caller_api.rs
+++ b/crates/daemon/src/completion/caller_api.rs
@@ -1,4 +1,4 @@
-//! The callers' interface over HTTP.
+//! The HTTP API for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,10 +38,10 @@
 use crate::completion::validated_completion::RequestContext;
 use crate::completion::validated_completion::ValidatedCompletion;
 
-/// Frames that wait for a caller that reads slowly.
+/// Number of frames buffered for a slow caller.
 const FRAME_BUFFER_LEN: usize = 64;
 
-/// The routes.
+/// Returns the routes of the API for callers.
 pub fn routes(app: &Arc<App>) -> Router {
     let completions = app.clone();
     let chat = app.clone();
@@ -73,7 +73,7 @@
         })
 }
 
-/// Turns an error into its answer.
+/// Returns the response of a handler, with an error turned into its response.
 pub async fn respond_with(
     answer: impl Future<Output = Result<Response, ApiError>>,
 ) -> viz::Result<Response> {
@@ -191,11 +191,11 @@
     response
 }
 
-/// A permit among the streams and calls of this instance.
+/// Acquires the permit for one stream or call.
 ///
 /// # Errors
 ///
-/// When all are taken.
+/// 503 if `max_streams` streams and calls are running.
 pub fn acquire_permit(app: &App) -> Result<OwnedSemaphorePermit, ApiError> {
     let permit = app.stream_permits.clone().try_acquire_owned();
     permit.map_err(|_| {
@@ -208,18 +208,18 @@
     })
 }
 
-/// What the caller's deadline leaves, but at most `longest`.
+/// Returns the timeout that the caller sent in the deadline header, but at most `longest`.
 pub fn request_timeout(request: &Request, longest: Duration) -> Duration {
-    let asked: Option<u64> = request.header(DEADLINE_HEADER);
-    asked.map_or(longest, |ms| Duration::from_millis(ms).min(longest))
+    let requested_ms: Option<u64> = request.header(DEADLINE_HEADER);
+    requested_ms.map_or(longest, |ms| Duration::from_millis(ms).min(longest))
 }
 
-/// A new id; sorts by time.
+/// Creates a request id; ids sort by their time of creation.
 pub fn new_request_id() -> String {
     uuid::Uuid::now_v7().simple().to_string()
 }
 
-/// An answer of 200 with JSON.
+/// Returns a 200 response with a JSON body.
 pub fn json<Answer: Serialize>(answer: &Answer) -> Response {
     let bytes = serde_json::to_vec(answer).unwrap_or_default();
     let mut response = Response::new(Body::Full(bytes.into()));
@@ -228,7 +228,7 @@
     response
 }
 
-/// The error for a path that leads nowhere.
+/// Returns the error for an unknown path.
 pub fn no_such_path() -> ApiError {
     ApiError::not_found("no_such_path", None, "there is nothing at this path")
 }
--- a/crates/daemon/src/completion/caller_sink.rs
+++ b/crates/daemon/src/completion/caller_sink.rs
@@ -1,4 +1,4 @@
-//! Where the tokens of a generation go: an event stream or one whole answer.
+//! Delivers the tokens of a generation to its caller, as an event stream or as a single answer.
 
 use std::time::Duration;
 
@@ -15,14 +15,15 @@
 
 use crate::completion::api_error::ApiError;
 
-/// Stands for the text of a token while the frame around it is made.
+/// Placeholder for the text of a token; the serialized event is split there.
 const TEXT_MARK: &str = "\u{1}";
 
-/// The caller reads no more.
+/// The caller has disconnected, or has not read for longer than the write timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerGone;
 
-/// The form of answers of one generation, with the frame of an event prepared.
+/// Formats the answers of one generation. The JSON around the text of a token is serialized only
+/// once.
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
     id: String,
@@ -33,7 +34,7 @@
 }
 
 impl AnswerFormat {
-    /// The form for one generation.
+    /// Creates the format for one generation.
     pub fn new(id: &str, model: &str, is_chat: bool) -> Self {
         let mut format = AnswerFormat {
             id: id.to_owned(),
@@ -51,14 +52,14 @@
         format
     }
 
-    /// The event of one token.
+    /// Returns the event for one token.
     fn event(&self, text: &str, cursor: &str) -> Bytes {
         let text = serde_json::to_string(text).unwrap_or_default();
         let (before, after) = (&self.before_text, &self.after_text);
         Bytes::from(format!("id: {cursor}\ndata: {before}{text}{after}\n\n"))
     }
 
-    /// The last events of a whole stream.
+    /// Returns the last events of a complete stream.
     fn final_events(&self, reason: EndReason) -> Bytes {
         let part = self.part("", Some(reason));
         let part = serde_json::to_string(&part).unwrap_or_default();
@@ -123,27 +124,27 @@
     }
 }
 
-/// One caller's end of a generation.
+/// The caller's side of a generation.
 #[derive(Debug)]
 pub enum CallerSink {
     /// Server-sent events.
     Events {
-        /// Frames towards the connection.
+        /// Frames to write to the connection.
         frames: mpsc::Sender<Bytes>,
-        /// Longest time in which the caller reads nothing.
+        /// Maximum time that a frame waits for the caller to read.
         write_timeout: Duration,
     },
-    /// One answer at the end; empty once it was given.
+    /// A single answer at the end; empty once it has been sent.
     Full(Option<oneshot::Sender<Result<Completion, ApiError>>>),
 }
 
 impl CallerSink {
-    /// Delivers a token.
+    /// Delivers a token; a single answer takes its tokens at the end instead.
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] when the connection ended or nothing was read for too
-    /// long.
+    /// [`CallerGone`] if the connection was closed, or the caller read nothing within the write
+    /// timeout.
     pub async fn token(
         &mut self,
         format: &AnswerFormat,
@@ -156,11 +157,11 @@
         }
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer.
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] as above.
+    /// [`CallerGone`] as for [`CallerSink::token`].
     pub async fn end(
         &mut self,
         format: &AnswerFormat,
@@ -177,11 +178,11 @@
         }
     }
 
-    /// Ends with an explicit error; never with an end that looks whole.
+    /// Ends the answer with an explicit error, so that a truncated stream never looks complete.
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] as above.
+    /// [`CallerGone`] as for [`CallerSink::token`].
     pub async fn error(&mut self, error: ApiError) -> Result<(), CallerGone> {
         match self {
             CallerSink::Events { .. } => {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller has disconnected.
     pub async fn closed(&mut self) {
         match self {
             CallerSink::Events { frames, .. } => frames.closed().await,
--- a/crates/daemon/src/completion/config_view.rs
+++ b/crates/daemon/src/completion/config_view.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads see of the configuration in force.
+//! The configuration in force, as the traffic threads read it.
 
 use std::sync::Arc;
 
@@ -6,19 +6,19 @@
 use iristhread_core::Document;
 use iristhread_core::KeyIndex;
 
-/// One version of the configuration with its index of keys.
+/// One version of the configuration with an index of its keys.
 #[derive(Debug, Default)]
 pub struct ConfigView {
-    /// Version in force, 0 for none.
+    /// Version in force; 0 if none is.
     pub version: ConfigVersion,
     /// The configuration.
     pub document: Arc<Document>,
-    /// Owners of bearer keys.
+    /// Index from bearer keys to their owners.
     pub keys: KeyIndex,
 }
 
 impl ConfigView {
-    /// The view of a configuration that came into force.
+    /// Creates the view of a configuration and indexes its keys.
     pub fn new(version: ConfigVersion, document: Arc<Document>) -> Self {
         ConfigView {
             version,
--- a/crates/daemon/src/completion/control_message.rs
+++ b/crates/daemon/src/completion/control_message.rs
@@ -1,4 +1,4 @@
-//! What other threads ask of the control thread.
+//! Messages from other threads to the control thread.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,183 +29,186 @@
 use serde::Serialize;
 use tokio::sync::oneshot;
 
-/// An engine, or why there is none.
+/// The engine for a request, or why it was refused.
 pub type Decision = Result<Placement, Refusal>;
 
-/// One message to the control thread.
+/// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// Something happened; nobody waits for an answer.
+    /// An event; there is no reply.
     Event(Event),
-    /// A request wants an engine.
+    /// Places a request at an engine.
     Submit {
         /// The request.
         submission: Submission,
-        /// Gets the decision, now or when there is room.
+        /// Receives the decision, at once or when an engine has capacity.
         reply: oneshot::Sender<Decision>,
     },
-    /// A ticket is wanted.
+    /// Issues a ticket.
     IssueTicket {
-        /// Its unique number.
+        /// Unique number of the ticket.
         number: String,
-        /// Service that it is for.
+        /// Service that the ticket is for.
         service: String,
-        /// Gets the ticket.
+        /// Receives the ticket.
         reply: oneshot::Sender<Ticket>,
     },
-    /// A ticket was presented.
+    /// Spends a ticket that a caller presented.
     SpendTicket {
         /// The ticket, with its signature verified.
         ticket: Ticket,
-        /// Gets the verdict.
+        /// Receives the verdict.
         reply: oneshot::Sender<SpendVerdict>,
     },
-    /// A call to a plain service counts against the limits of its workspace.
+    /// Opens a call to a plain service, which counts against the limits of its workspace.
     OpenCall {
         /// The request.
         request: RequestId,
         /// The workspace.
         workspace: WorkspaceId,
-        /// What it consists of.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Gets the decision.
+        /// Receives the decision.
         reply: oneshot::Sender<Result<(), Refusal>>,
     },
-    /// A call to a plain service wants to be sent to a further runner.
+    /// Checks before each send of a call to a plain service whether it is quarantined.
     CheckQuarantine {
         /// The request.
         request: RequestId,
-        /// What it consists of.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Gets the decision.
+        /// Receives the decision.
         reply: oneshot::Sender<Result<(), Refusal>>,
     },
-    /// A call is about to be sent to a runner.
+    /// Checks whether a call may be sent to a runner.
     MayCall {
         /// The runner.
         backend: BackendId,
         /// The request.
         request: RequestId,
-        /// Whether it may: the runner may have said something since it was ranked.
+        /// Receives whether it may; a server notice of the runner may have arrived since the
+        /// runners were ranked.
         reply: oneshot::Sender<bool>,
     },
-    /// Something is about to be sent to an engine about a generation there.
+    /// Checks whether a request about a generation may be sent to its engine.
     MayReach {
         /// The engine.
         backend: BackendId,
-        /// Whether it may: it wants nothing while it rests, and no more than its limit.
+        /// Receives whether it may: not while the engine is backing off, nor beyond its limit.
         reply: oneshot::Sender<bool>,
     },
-    /// No runner of a service took a call: is that because all rest or are limited?
+    /// Queries the time until a runner of a service accepts a call.
     TimeUntilRunner {
         /// The service.
         service: String,
-        /// The time until the first takes one, if so.
+        /// Receives the time until the first runner accepts one, if all are backing off or
+        /// limited; `None` otherwise.
         reply: oneshot::Sender<Option<Duration>>,
     },
-    /// The runners of a service are wanted, the best first.
+    /// Queries the runners of a service, the best first.
     Runners {
         /// The service.
         service: String,
-        /// Gets them.
+        /// Receives the result.
         reply: oneshot::Sender<Vec<BackendServer>>,
     },
-    /// The time line is wanted.
+    /// Queries the timeline.
     Timeline {
-        /// Records after this time.
+        /// Only records after this time.
         after: HybridTime,
-        /// Of this request, or of all.
+        /// Only records of this request, if given.
         request: Option<RequestId>,
-        /// Gets them.
+        /// Receives the result.
         reply: oneshot::Sender<Vec<TimelineRecord>>,
     },
-    /// The versions are wanted: cheap at any size of the fleet.
+    /// Queries the versions; cheap at any size of the fleet.
     Versions {
-        /// Gets them.
+        /// Receives the result.
         reply: oneshot::Sender<Versions>,
     },
-    /// The engines that decisions look at are wanted.
+    /// Queries the engines whose load reports the decisions need, without those that accept no
+    /// request now.
     Watched {
-        /// Gets their names and addresses.
+        /// Receives their names and addresses.
         reply: oneshot::Sender<Vec<(BackendId, SocketAddr)>>,
     },
-    /// The instance list is wanted.
+    /// Queries the instance list.
     InstanceList {
-        /// Gets it.
+        /// Receives the result.
         reply: oneshot::Sender<Vec<InstanceEntry>>,
     },
-    /// The whole observed state is wanted, for operators.
+    /// Queries the whole observed state, for operators.
     Snapshot {
-        /// Gets it.
+        /// Receives the result.
         reply: oneshot::Sender<Snapshot>,
     },
 }
 
-/// What an instance has, at one moment.
+/// Versions and load of an instance at one time.
 #[derive(Clone, Debug)]
 pub struct Versions {
-    /// Version in force, 0 for none.
+    /// Version of the configuration in force; 0 if none is.
     pub config_version: ConfigVersion,
-    /// The configuration in force.
+    /// The configuration in force, if any.
     pub document: Option<Arc<Document>>,
-    /// Milliseconds since the platform confirmed it, if ever.
+    /// Milliseconds since the platform confirmed the configuration, if it ever did.
     pub config_age_ms: Option<u64>,
     /// Version of the instance list.
     pub roster_version: u64,
-    /// Requests that wait.
+    /// Number of requests that wait for an engine.
     pub queued: usize,
-    /// Requests that run.
+    /// Number of requests that run at an engine.
     pub running: usize,
-    /// Hybrid time of this moment.
+    /// Hybrid time of this snapshot.
     pub time: HybridTime,
-    /// Contents of requests that it suspects to end backend servers.
+    /// Requests suspected of crashing backend servers.
     pub suspects: Vec<AdvertisedSuspect>,
 }
 
-/// What an instance knows, at one moment.
+/// The state of an instance at one time.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// What it has.
+    /// Versions and load.
     pub versions: Versions,
-    /// The newest refused version with its faults.
+    /// The newest refused version of the configuration and its faults, if any.
     pub refused: Option<(ConfigVersion, Vec<DocumentFault>)>,
-    /// The instance list, joined with what peers said.
+    /// The instance list, joined with the state that peers advertised.
     pub instances: Vec<InstanceSnapshot>,
     /// Backend servers as this instance sees them.
     pub backends: Vec<BackendSnapshot>,
-    /// Requests open by workspace.
+    /// Number of open requests by workspace.
     pub open_requests: Vec<(WorkspaceId, u32)>,
 }
 
-/// One line of the instance list.
+/// One entry of the instance list with its observed state.
 #[derive(Clone, Debug)]
 pub struct InstanceSnapshot {
-    /// As the platform lists it.
+    /// The entry as the platform lists it.
     pub entry: InstanceEntry,
-    /// Milliseconds since it was last heard.
+    /// Milliseconds since the last message from this instance, if there was one.
     pub silence_ms: Option<u64>,
-    /// What it last said.
+    /// Incarnation and configuration version that it last advertised.
     pub last_said: Option<(Incarnation, ConfigVersion)>,
 }
 
-/// One backend server.
+/// One backend server as this instance sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendSnapshot {
-    /// Its name.
+    /// Name of the backend server.
     pub name: String,
-    /// Its last load report.
+    /// Its last load report, if any.
     pub report: Option<LoadReport>,
-    /// Why no new work goes there, if so.
+    /// Why it gets no new requests, if so.
     pub ruled_out: Option<String>,
-    /// Requests of this instance there.
+    /// Number of requests of this instance that run there.
     pub own_requests: u32,
 }
 
-/// Who a process is to its peers.
+/// Identifies a process to its peers.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its instance.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -1,4 +1,4 @@
-//! The one thread that owns the state of all decisions.
+//! The single thread that owns the state of all decisions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -31,34 +31,34 @@
 use crate::process::clock::Clock;
 use crate::process::control_sender::ControlSender;
 
-/// Time between two ticks of the decisions.
+/// Time between two [`Event::Tick`]s.
 const TICK: Duration = Duration::from_millis(50);
 
-/// A peer to exchange versions with.
+/// A peer to exchange versions with, and its address.
 pub type ExchangeTarget = (InstanceId, SocketAddr);
 
-/// What the control thread publishes to the traffic threads.
+/// Channels on which the control thread publishes to the traffic threads.
 pub struct ControlOutputs {
     /// The configuration in force.
     pub view: watch::Receiver<Arc<ConfigView>>,
     /// Whether this instance reads the platform.
     pub reads_platform: watch::Receiver<bool>,
-    /// Peers to exchange versions with, as they come up.
+    /// Peers to exchange versions with, when an exchange is due.
     pub exchanges: mpsc::UnboundedReceiver<ExchangeTarget>,
 }
 
-/// Sends messages to the control thread; cheap to clone.
+/// Sends messages to the control thread. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     sender: ControlSender<ControlMessage>,
 }
 
 impl ControlHandle {
-    /// Starts the thread.
+    /// Starts the control thread.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread or runtime.
+    /// If the runtime or the thread can't be created.
     pub fn start(
         settings: ControlSettings,
         clock: Clock,
@@ -91,12 +91,12 @@
         Ok((ControlHandle { sender }, outputs))
     }
 
-    /// Tells of an event.
+    /// Sends an event; does not wait for it to be handled.
     pub fn tell(&self, event: Event) {
         self.sender.tell(ControlMessage::Event(event));
     }
 
-    /// Adds to the time line.
+    /// Adds an event of a request to the timeline.
     pub fn note(&self, request: &str, event: TimelineEvent) {
         self.tell(Event::Note {
             request: Some(request.to_owned()),
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Asks for an answer; `None` when the process is stopping.
+    /// Sends a message and waits for its reply; returns `None` if the process is stopping.
     pub async fn ask<Answer>(
         &self,
         message: impl FnOnce(oneshot::Sender<Answer>) -> ControlMessage,
@@ -140,7 +140,7 @@
 
     fn handle_message(&mut self, message: ControlMessage) {
         let now = self.clock.now();
-        // A caller that no longer waits for its answer is no fault.
+        // A failed send of a reply is ignored: the receiver no longer waits for it.
         match message {
             ControlMessage::Event(event) => {
                 if let Event::Closed { request, .. } = &event {
@@ -243,11 +243,11 @@
             }
             Command::ConfigInForce { version } => self.publish(version),
             Command::ExchangeWith { instance, address } => {
-                // Fails only when the process is stopping.
+                // Fails only if the process is stopping.
                 let _ = self.exchanges.send((instance, address));
             }
             Command::ReadPlatform { reads } => {
-                info!(self.log, "reading the platform"; "reads" => reads);
+                info!(self.log, "platform reader role changed"; "reads" => reads);
                 self.reads.send_replace(reads);
             }
         }
@@ -258,7 +258,7 @@
             return;
         };
         if reply.send(decision).is_err() {
-            // The caller left while it waited: give the place back.
+            // The caller disconnected while it waited: release the placement.
             self.decide(Event::AttemptLost {
                 request: request.clone(),
                 engine_failed: false,
@@ -280,7 +280,8 @@
                 warn!(self.log, "backend server failed"; "backend_server" => backend);
             }
             Event::ConfigUnreadable { version, reason } => {
-                warn!(self.log, "configuration unreadable"; "version" => version, "reason" => reason);
+                warn!(self.log, "configuration can't be parsed";
+                    "version" => version, "reason" => reason);
             }
             _ => {}
         }
--- a/crates/daemon/src/completion/daemon.rs
+++ b/crates/daemon/src/completion/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of an instance and stops them in order.
+//! Starts the tasks and servers of an instance, and stops them in order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,41 +41,41 @@
 use crate::process::http_server::ConnectionLimits;
 use crate::process::metrics::Metrics;
 
-/// Most bytes of an answer of a plain service.
+/// Maximum size of an answer of a plain service.
 const MAX_SERVICE_ANSWER_BYTES: usize = 4 << 20;
 
-/// Bytes towards one caller that the system holds.
+/// Size of the kernel's send buffer of one connection.
 const SEND_BUFFER_BYTES: u32 = 64 << 10;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// Why an instance could not start.
+/// Error that prevents an instance from starting.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error("can't listen on {key} = {address}: {cause}; is another process there?")]
     Listen {
         /// Key of the setting.
         key: &'static str,
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         cause: std::io::Error,
     },
-    /// The system gave no thread or socket.
+    /// The operating system refused a thread, a socket or a signal handler.
     #[error("can't start: {0}")]
     System(#[from] std::io::Error),
 }
 
-/// Where an instance listens, with the ports that the system chose for 0.
+/// Addresses that an instance listens on; a port 0 of the settings is replaced by the actual one.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ListenAddresses {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Operators.
+    /// Address for operators.
     pub operators: SocketAddr,
-    /// Peers.
+    /// Address for peers.
     pub peers: SocketAddr,
 }
 
@@ -84,17 +84,18 @@
     addresses: ListenAddresses,
     app: Arc<App>,
     stop: watch::Sender<bool>,
-    callers: JoinHandle<()>,
-    operators: JoinHandle<()>,
-    peers: jsonrpsee::server::ServerHandle,
+    caller_server: JoinHandle<()>,
+    operator_server: JoinHandle<()>,
+    peer_server: jsonrpsee::server::ServerHandle,
 }
 
 impl Daemon {
-    /// Starts everything; call it within the runtime for traffic.
+    /// Starts the instance. Must be called within the runtime for traffic.
     ///
     /// # Errors
     ///
-    /// [`DaemonError`] that names the setting at fault.
+    /// [`DaemonError::Listen`] names the setting whose address can't be used;
+    /// [`DaemonError::System`] if a thread or socket can't be created.
     pub async fn start(settings: Settings, log: Logger) -> Result<Daemon, DaemonError> {
         let clock = Clock::start();
         let identity = Identity {
@@ -107,9 +108,9 @@
         let (control, outputs) = ControlHandle::start(control_settings, clock, log.clone())?;
         let platform = Arc::new(HttpPlatform::new(settings.platform_address));
         let keyring = settings.keyring.clone();
-        let (metrics_to, zone) = (settings.metrics_address, &settings.zone);
+        let (metrics_address, zone) = (settings.metrics_address, &settings.zone);
         let app = Arc::new(App {
-            metrics: Metrics::new(metrics_to, &settings.instance, zone)?,
+            metrics: Metrics::new(metrics_address, &settings.instance, zone)?,
             peers: Arc::new(JsonRpcPeers::new(identity.clone(), keyring)),
             engines: Arc::new(HttpEngines::default()),
             services: HttpClient::unpooled(MAX_SERVICE_ANSWER_BYTES),
@@ -131,7 +132,7 @@
             address: peer_address,
         };
         let answers = Arc::new(InstanceAnswers::new(app.clone()));
-        let (peers, peer_address) = peer_server::serve_peers(own, answers, log.clone())
+        let (peer_handle, peer_address) = peer_server::serve_peers(own, answers, log.clone())
             .await
             .map_err(|cause| listen_error("peer_address", peer_address, cause))?;
         let reader = PlatformReader::new(platform, control, outputs.reads_platform, log);
@@ -150,49 +151,50 @@
         };
         let (stop, stopped) = watch::channel(false);
         let limits = connection_limits(&app.settings);
-        let callers = caller_api::routes(&app);
-        let operators = operator_api::routes(&app);
+        let caller_routes = caller_api::routes(&app);
+        let operator_routes = operator_api::routes(&app);
         Ok(Daemon {
             addresses,
-            callers: tokio::spawn(http_server::serve(
+            caller_server: tokio::spawn(http_server::serve(
                 caller_listener,
-                callers,
+                caller_routes,
                 limits,
                 stopped.clone(),
             )),
-            operators: tokio::spawn(http_server::serve(
+            operator_server: tokio::spawn(http_server::serve(
                 operator_listener,
-                operators,
+                operator_routes,
                 limits,
                 stopped,
             )),
             app,
             stop,
-            peers,
+            peer_server: peer_handle,
         })
     }
 
-    /// Where it listens.
+    /// Returns the addresses that the instance listens on.
     pub fn addresses(&self) -> ListenAddresses {
         self.addresses
     }
 
-    /// A planned stop: not ready at once, then no new connections, then wait
-    /// for every stream and call. Returns whether all of them finished.
+    /// Performs a planned stop: the instance is not ready at once, accepts no new connections
+    /// after `stop_linger`, then waits up to `stop_timeout` for streams and calls. Returns
+    /// whether all of them finished.
     pub async fn stop(self) -> bool {
         let log = &self.app.log;
         info!(log, "planned stop begins");
         self.app.stopping.store(true, Ordering::Relaxed);
         tokio::time::sleep(self.app.settings.stop_linger).await;
         self.stop.send_replace(true);
-        // Watches of operators have no end of their own.
-        self.operators.abort();
+        // Operators' watches never end by themselves.
+        self.operator_server.abort();
         let drained = async {
-            // A caller's task that failed has ended as well.
-            let _ = self.callers.await;
-            // Calls that peers have forwarded are callers' calls, too.
-            let _ = self.peers.stop();
-            self.peers.stopped().await;
+            // An error means that the server's task panicked, so it has ended as well.
+            let _ = self.caller_server.await;
+            // Calls forwarded by peers must finish, too, as callers wait for them.
+            let _ = self.peer_server.stop();
+            self.peer_server.stopped().await;
         };
         let finished = tokio::time::timeout(self.app.settings.stop_timeout, drained).await;
         info!(log, "planned stop ends"; "finished" => finished.is_ok());
@@ -200,13 +202,13 @@
     }
 }
 
-/// Listens on the address of a setting.
+/// Listens on the address of the setting `key`.
 pub fn listen(key: &'static str, address: SocketAddr) -> Result<TcpListener, DaemonError> {
     bind(address).map_err(|cause| listen_error(key, address, cause))
 }
 
-/// Accepted connections inherit the small send buffer, so that a caller that
-/// stops reading is noticed soon and holds little memory.
+/// Accepted connections inherit the small send buffer: a caller that stops reading is detected
+/// early and holds little memory.
 fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -218,7 +220,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Names the setting of an address that can't be listened on.
+/// Creates the error for an address that can't be listened on.
 pub fn listen_error(key: &'static str, address: SocketAddr, cause: std::io::Error) -> DaemonError {
     DaemonError::Listen {
         key,
--- a/crates/daemon/src/completion/generation.rs
+++ b/crates/daemon/src/completion/generation.rs
@@ -1,5 +1,5 @@
-//! Relays one generation: the driver of a [`Session`] over engines that may
-//! die, stall, reset or answer crossed.
+//! Relays one generation to its caller: drives a [`Session`] over engines that may crash, stall,
+//! reset connections or send the answer of another request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,10 +28,10 @@
 
 mod attempts;
 
-/// Tokens between two progress events to the decisions.
+/// Number of tokens between two progress events to the control thread.
 const PROGRESS_EVERY: u32 = 32;
 
-/// What a look at the engine's stream led to.
+/// Result of handling the next event of a stream.
 enum Step {
     Continue,
     Complete(EndReason),
@@ -41,7 +41,7 @@
     CallerGone,
 }
 
-/// One generation under way.
+/// A running generation.
 pub struct Generation {
     app: Arc<App>,
     completion: ValidatedCompletion,
@@ -53,22 +53,22 @@
     placement: Placement,
     failed_engines: Vec<BackendId>,
     idle_reattaches: u32,
-    /// Whether the caller has its answer's headers: from then on the deadline of
-    /// the start no longer counts.
+    /// Whether the caller has received the headers of the answer; from then on the deadline for
+    /// the start no longer applies.
     is_relaying: bool,
     is_closed: bool,
     last_progress: iristhread_core::Now,
-    /// When this attempt's first token came.
+    /// When the first new token of this attempt arrived, if any has.
     first_token_at: Option<iristhread_core::Now>,
     longest_gap: Duration,
 }
 
 impl Generation {
-    /// Starts or resumes a generation; returns once an engine has taken it.
+    /// Starts or resumes a generation; returns once an engine has accepted it.
     ///
     /// # Errors
     ///
-    /// An [`ApiError`]; the request is then over and nothing is left running.
+    /// An [`ApiError`] for the caller; the request is then closed and nothing is left running.
     pub async fn begin(app: Arc<App>, completion: ValidatedCompletion) -> Result<Self, ApiError> {
         let now = app.clock.now();
         let session = match &completion.cursor {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Relays to the caller until the end.
+    /// Relays tokens to the caller until the generation ends.
     pub async fn run(mut self, mut sink: CallerSink) {
         self.is_relaying = true;
         loop {
@@ -135,13 +135,13 @@
             () = sleep_until(stalled_at) => return Step::Stalled,
         };
         match event {
-            Some(Ok(event)) => self.take(event, sink).await,
+            Some(Ok(event)) => self.handle_event(event, sink).await,
             Some(Err(_)) => Step::Lost("connection broke"),
             None => Step::Lost("connection closed before the end mark"),
         }
     }
 
-    async fn take(&mut self, event: EngineEvent, sink: &mut CallerSink) -> Step {
+    async fn handle_event(&mut self, event: EngineEvent, sink: &mut CallerSink) -> Step {
         match event {
             EngineEvent::Token {
                 generation,
@@ -235,12 +235,13 @@
         self.cancel();
         let error = self.adjust_outcome(error);
         let (outcome, code) = (error.detail.outcome, error.detail.code.clone());
-        // The caller may have left as well; there is nobody else to tell.
+        // The caller may have disconnected as well; nobody else needs the error.
         let _ = sink.error(error).await;
         self.close(outcome, &code);
     }
 
-    /// What ran for a caller that holds tokens is not said not to have run.
+    /// Sets the outcome to unknown if tokens were delivered: such a request has run, so the error
+    /// must not claim that it has not.
     fn adjust_outcome(&self, mut error: ApiError) -> ApiError {
         if self.session.delivered() > 0 {
             error.detail.outcome = Outcome::Unknown;
@@ -248,7 +249,8 @@
         error
     }
 
-    /// Leaves the caller a grace to come back elsewhere, then frees the engine.
+    /// Handles a caller that disconnected: leaves it `caller_grace` to reconnect, perhaps at
+    /// another instance, then cancels the generation at the engine.
     async fn caller_gone(mut self) {
         let delivered = self.session.delivered();
         self.note(TimelineEvent::CallerLost { delivered });
@@ -280,7 +282,8 @@
     }
 }
 
-/// The server drops a request whose caller leaves before the answer begins.
+/// The HTTP server drops the request of a caller that disconnects before the answer begins; this
+/// cancels and closes its generation.
 impl Drop for Generation {
     fn drop(&mut self) {
         if !self.is_closed {
--- a/crates/daemon/src/completion/generation/attempts.rs
+++ b/crates/daemon/src/completion/generation/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a generation: where it starts, resumes, and goes on.
+//! The attempts of a generation: start, reattachment and failover to other engines.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 use crate::completion::control_message::ControlMessage;
 use crate::engines::engine_watch::has_ended;
 
-/// Attempts of one generation before it ends with an error.
+/// Maximum number of attempts of one generation; it then ends with an error.
 const MAX_ATTEMPTS: Attempt = 12;
 
-/// Connections to the same attempt without a new token between them.
+/// Maximum number of reattachments to the same attempt without a new token between them.
 const MAX_IDLE_REATTACHES: u32 = 2;
 
-/// Engines that failed it lately and are not tried again.
-const REMEMBERED_FAILURES: usize = 2;
+/// Number of the most recently failed engines that are excluded from the next attempt.
+const MAX_EXCLUDED_ENGINES: usize = 2;
 
-/// Longest wait for an engine of a stream that the caller holds a part of.
+/// Maximum wait for an engine for a stream whose answer has already begun.
 const CONTINUE_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Generation {
@@ -46,7 +46,7 @@
         self.place().await
     }
 
-    /// Goes on at the engine that the cursor names.
+    /// Attaches to the attempt at the engine that the cursor names. Returns whether it succeeded.
     async fn attach_at_cursor(&mut self, cursor: &Cursor) -> bool {
         let view = self.app.view();
         let servers = view.document.backend_servers.iter();
@@ -84,8 +84,8 @@
             &self.reader,
         );
         let answer = attached.await;
-        let heard = answer.heard(sent_at, false);
-        self.app.observe_notice(&self.placement.engine, heard);
+        let observed = answer.heard(sent_at, false);
+        self.app.observe_notice(&self.placement.engine, observed);
         match answer.result {
             Ok(stream) => {
                 self.stream = stream;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Finds an engine for the next attempt, and tries until one takes it.
+    /// Starts attempts at engines that the control thread chooses, until one accepts it.
     pub(super) async fn place(&mut self) -> Result<(), ApiError> {
         while self.session.attempt() < MAX_ATTEMPTS {
             let submission = self.submission(self.session.attempt() + 1);
@@ -133,8 +133,8 @@
         let address = self.placement.address;
         let sent_at = self.app.clock.now();
         let answer = self.app.engines.generate(address, request).await;
-        let heard = answer.heard(sent_at, answer.result.is_ok());
-        self.app.observe_notice(&self.placement.engine, heard);
+        let observed = answer.heard(sent_at, answer.result.is_ok());
+        self.app.observe_notice(&self.placement.engine, observed);
         let asks_for_backoff = answer.notice.rest().is_some();
         match answer.result {
             Ok(stream) => {
@@ -142,19 +142,20 @@
                 true
             }
             Err(error) => {
-                info!(self.app.log, "engine did not take an attempt";
+                info!(self.app.log, "engine did not accept an attempt";
                     "request" => &self.completion.request, "error" => %error);
                 if !error.is_unsent() && !asks_for_backoff {
                     self.report_if_crashed().await;
                 }
-                // Rest is no failure.
+                // An engine that asks for backoff has not failed.
                 self.attempt_lost("not taken", !asks_for_backoff);
                 false
             }
         }
     }
 
-    /// A link may have failed while the engine lives: the same attempt first.
+    /// Reattaches to the same attempt first, as the connection may have failed while the engine
+    /// still runs; fails over to another engine if that does not succeed.
     pub(super) async fn reattach_or_fail_over(
         &mut self,
         cause: &'static str,
@@ -168,7 +169,7 @@
         self.fail_over(cause, true).await
     }
 
-    /// Gives the attempt up and goes on elsewhere from what is known.
+    /// Gives up the attempt and continues at another engine from the known tokens.
     pub(super) async fn fail_over(
         &mut self,
         cause: &str,
@@ -185,12 +186,14 @@
         self.place().await
     }
 
-    /// Looks whether the engine of the lost attempt has ended, before another gets it.
+    /// Checks whether the engine of the lost attempt has crashed, and reports it to the control
+    /// thread. Called before the request is sent to another engine: the control thread may have
+    /// to quarantine it first.
     async fn report_if_crashed(&mut self) {
-        let begun_at = self.first_token_at;
-        let is_new = begun_at.is_none();
-        if has_ended(self.placement.address, is_new).await {
-            let ran_for = begun_at.map(|at| self.app.clock.now().saturating_sub(at));
+        let first_token_at = self.first_token_at;
+        let has_no_token = first_token_at.is_none();
+        if has_ended(self.placement.address, has_no_token).await {
+            let ran_for = first_token_at.map(|at| self.app.clock.now().saturating_sub(at));
             self.app.control.tell(Event::ServerCrashed {
                 backend: self.placement.engine.clone(),
                 fingerprint: self.completion.fingerprint(),
@@ -208,7 +211,7 @@
             delivered: self.session.delivered(),
         });
         self.failed_engines.push(self.placement.engine.clone());
-        if self.failed_engines.len() > REMEMBERED_FAILURES {
+        if self.failed_engines.len() > MAX_EXCLUDED_ENGINES {
             self.failed_engines.remove(0);
         }
         self.app.control.tell(Event::AttemptLost {
@@ -217,7 +220,8 @@
         });
     }
 
-    /// Frees the engine's memory; a newer reader elsewhere keeps its stream.
+    /// Cancels the attempt in the background, so that the engine frees its memory. The engine
+    /// ignores this if a newer reader has attached; that reader keeps its stream.
     pub(super) fn cancel(&self) {
         let app = self.app.clone();
         let (address, attempt) = (self.placement.address, self.placement.attempt);
@@ -225,14 +229,14 @@
         let reader = self.reader.clone();
         let engine = self.placement.engine.clone();
         tokio::spawn(async move {
-            // An engine that rests or can't be reached drops what nobody reads.
+            // An engine that is backing off or unreachable drops attempts without a reader itself.
             if !may_reach(&app, &engine).await {
                 return;
             }
             let sent_at = app.clock.now();
             let cancelled = app.engines.cancel(address, &generation, attempt, &reader);
-            let heard = cancelled.await.heard(sent_at, false);
-            app.observe_notice(&engine, heard);
+            let observed = cancelled.await.heard(sent_at, false);
+            app.observe_notice(&engine, observed);
         });
     }
 
@@ -261,8 +265,8 @@
     }
 }
 
-/// Whether an engine wants to hear of a generation now: it may have asked for rest, or take
-/// no more under its limit.
+/// Checks whether a request about a generation may be sent to an engine now: it may have asked
+/// for backoff, or its limit may be used up.
 async fn may_reach(app: &App, engine: &str) -> bool {
     let ask = |reply| ControlMessage::MayReach {
         backend: engine.to_owned(),
--- a/crates/daemon/src/completion/request_guard.rs
+++ b/crates/daemon/src/completion/request_guard.rs
@@ -1,4 +1,4 @@
-//! Checks that every request passes before anything else happens.
+//! Checks of headers, keys and bodies that every request passes first.
 
 use http::StatusCode;
 use http::header;
@@ -15,11 +15,12 @@
 
 const BEARER: &str = "Bearer ";
 
-/// The workspace whose key the request bears.
+/// Returns the workspace whose key the request carries.
 ///
 /// # Errors
 ///
-/// 401 for any other key, 431 for too large headers.
+/// 401 for any other key or none, 431 for too large headers, 503 while no configuration is in
+/// force.
 pub fn workspace(app: &App, request: &Request) -> Result<WorkspaceId, ApiError> {
     check_headers(app, request)?;
     let view = app.view();
@@ -34,11 +35,11 @@
     }
 }
 
-/// The operator whose key the request bears.
+/// Returns the operator whose key the request carries.
 ///
 /// # Errors
 ///
-/// As for [`workspace`].
+/// 401 for any other key or none, 431 for too large headers.
 pub fn operator(app: &App, request: &Request) -> Result<String, ApiError> {
     check_headers(app, request)?;
     let key = bearer_key(request).ok_or_else(ApiError::unauthenticated)?;
@@ -48,11 +49,11 @@
     }
 }
 
-/// The body as JSON.
+/// Reads the body as JSON.
 ///
 /// # Errors
 ///
-/// As for [`body`], and 400 when it is no JSON of that shape.
+/// As for [`body`], and 400 if the body is not valid JSON for the type `Parsed`.
 pub async fn json<Parsed: DeserializeOwned>(
     app: &App,
     request: &mut Request,
@@ -62,11 +63,12 @@
         .map_err(|error| ApiError::invalid("invalid_body", None, format!("the body: {error}")))
 }
 
-/// The body, within its limits of size and time.
+/// Reads the body within the limits `max_body_bytes` and `body_timeout`.
 ///
 /// # Errors
 ///
-/// 413, 408, or 400 when the connection ended in the middle.
+/// 413 if the body is too large, 408 if it takes too long, 400 if the connection ends before it is
+/// complete.
 pub async fn body(app: &App, request: &mut Request) -> Result<Bytes, ApiError> {
     let limits = &app.settings.limits;
     let max = limits.max_body_bytes;
--- a/crates/daemon/src/completion/service_api.rs
+++ b/crates/daemon/src/completion/service_api.rs
@@ -32,11 +32,11 @@
 
 const PREFIX: &str = "/v1/services/";
 
-/// Answers one call.
+/// Handles one call.
 ///
 /// # Errors
 ///
-/// An [`ApiError`] with its outcome.
+/// An [`ApiError`] if the call is refused before it is sent to a runner.
 pub async fn call(app: Arc<App>, mut request: Request) -> Result<Response, ApiError> {
     let workspace = request_guard::workspace(&app, &request)?;
     let (service, path) = target(&request)?;
@@ -82,8 +82,8 @@
     }
 }
 
-/// A call that counts against the limits of its workspace until this is
-/// dropped, also when its caller leaves in the middle.
+/// A call that counts against the limits of its workspace. Dropping this closes the call, also
+/// when its caller disconnects early.
 struct OpenCall<'a> {
     app: &'a App,
     request: RequestId,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Answers 428 with a fresh ticket: the caller sends the same call with it, and
-/// again with the same ticket whenever it has no answer.
+/// Answers 428 with a new ticket. The caller sends the same call with the ticket, and repeats it
+/// with the same ticket as long as it has received no answer.
 async fn issue_ticket(
     app: &App,
     workspace: &WorkspaceId,
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -1,5 +1,5 @@
-//! Calls to plain services: repeated only where the configuration allows it,
-//! otherwise run at most once by the instance that the ticket names.
+//! Calls to plain services. A call is repeated only if the configuration allows it; otherwise the
+//! instance that its ticket names runs it at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,17 +40,16 @@
 use crate::peers::peer_message::PeerRequest;
 use crate::relaying::patience;
 
-/// Runs a call that may be repeated: tries again elsewhere after a failure.
+/// Runs a call that may be repeated; retries at another runner after a failure.
 pub async fn run_repeatable(app: &App, call: &ForwardedCall) -> CallAnswer {
     let deadline = deadline_of(app, call);
     run(app, call, true, &call.request, deadline).await
 }
 
-/// Runs, forwards or repeats the answer of a call whose ticket was verified.
+/// Runs a call whose ticket was verified, forwards it, or repeats its earlier answer.
 ///
-/// The whole is a task of its own: a caller or peer that leaves between the
-/// spending of the ticket and the call must not leave the ticket spent for
-/// nothing.
+/// This runs in a task of its own: if the caller or peer disconnects after the ticket was spent and
+/// before the call was sent, the call must still run, or the ticket would be spent for nothing.
 pub async fn run_ticketed(app: &Arc<App>, call: ForwardedCall, ticket: Ticket) -> CallAnswer {
     let task = tokio::spawn(spend_and_run(app.clone(), call, ticket));
     task.await.unwrap_or_else(|_| {
@@ -64,7 +63,7 @@
         ticket: ticket.clone(),
         reply,
     };
-    // Before spending, so that a second delivery finds the slot.
+    // Created before the ticket is spent, so that a second delivery finds the slot.
     let is_own = ticket.instance == app.identity.instance;
     let slot = is_own.then(|| app.calls.slot(&ticket.number, keep_until));
     let Some(verdict) = app.control.ask(ask).await else {
@@ -96,19 +95,19 @@
     }
 }
 
-/// Runs a call that a peer forwarded; checks the ticket again.
+/// Runs a call that a peer forwarded; verifies the ticket again.
 pub async fn run_forwarded(app: &Arc<App>, call: ForwardedCall) -> CallAnswer {
     let keyring = &app.settings.keyring;
     match Ticket::decode(&call.ticket, &call.workspace, &call.service, keyring) {
         Ok(ticket) if ticket.instance == app.identity.instance => {
             run_ticketed(app, call, ticket).await
         }
-        // Never forwarded twice.
+        // A call is never forwarded twice.
         _ => CallAnswer::unknown("wrong_instance", "the ticket is not of this instance"),
     }
 }
 
-/// Drives the decisions of a [`CallRun`].
+/// Sends the call to the runners that a [`CallRun`] chooses, and returns the final answer.
 async fn run(
     app: &App,
     call: &ForwardedCall,
@@ -150,7 +149,7 @@
     }
 }
 
-/// Nobody could run a call: tells when to come back, where that is known.
+/// Returns the answer if no runner accepted the call, with the time for a retry if it is known.
 async fn no_runner(app: &App, call: &ForwardedCall) -> CallAnswer {
     match time_until_runner(app, &call.service).await {
         Some(left) => all_backing_off(left),
@@ -158,7 +157,8 @@
     }
 }
 
-/// A runner may have said something since the runners were ranked.
+/// Checks whether the runner accepts a call now: a server notice may have arrived since the runners
+/// were ranked.
 async fn may_call(app: &App, call: &ForwardedCall, runner: &BackendServer) -> bool {
     let ask = |reply| ControlMessage::MayCall {
         backend: runner.name.clone(),
@@ -184,7 +184,7 @@
     }
 }
 
-/// Asked before each send, also those of forwarded calls.
+/// Checks whether the call is free of quarantine; needed before each send, also of forwarded calls.
 async fn passes_quarantine(app: &App, call: &ForwardedCall) -> bool {
     let ask = |reply| ControlMessage::CheckQuarantine {
         request: call.request.clone(),
@@ -194,7 +194,7 @@
     matches!(app.control.ask(ask).await, Some(Ok(())))
 }
 
-/// Tells the decisions whether the runner answered, or ended under the call.
+/// Reports to the control thread whether the runner answered, or crashed during the call.
 async fn report_result(
     app: &App,
     call: &ForwardedCall,
@@ -263,7 +263,7 @@
         ),
     };
     if let Some(cause) = cause {
-        info!(app.log, "runner of a service gave no answer";
+        info!(app.log, "service runner did not answer";
             "request" => &call.request, "backend_server" => &backend,
             "result" => result.as_str(), "cause" => cause);
     }
@@ -271,12 +271,12 @@
     let notice = reply
         .as_ref()
         .map(|reply| notice_of(reply.status, &reply.headers));
-    let heard = ObservedNotice {
+    let observed = ObservedNotice {
         notice: notice.unwrap_or_default(),
         sent_at,
         reports_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
     };
-    app.observe_notice(&backend, heard);
+    app.observe_notice(&backend, observed);
     app.control.tell(match reply {
         Some(_) => Event::BackendAnswered { backend },
         None => Event::BackendFailed { backend },
@@ -301,11 +301,11 @@
     builder.body(Full::new(Bytes::from(call.body.clone()))).ok()
 }
 
-/// An answer is the runner's own, unless it says that it did not run the call,
-/// or failed with no word about that.
+/// Classifies a reply: it is the runner's own answer unless it says that the call did not run, or
+/// is a server error that does not say so.
 fn classify_reply(reply: &Reply) -> SendResult {
-    let said = header_of(reply, OUTCOME_HEADER);
-    if said.as_deref() == Some(Outcome::NotRun.as_str()) {
+    let outcome = header_of(reply, OUTCOME_HEADER);
+    if outcome.as_deref() == Some(Outcome::NotRun.as_str()) {
         return SendResult::SaidNotRun;
     }
     if reply.status.is_server_error() {
--- a/crates/daemon/src/completion/settings.rs
+++ b/crates/daemon/src/completion/settings.rs
@@ -17,90 +17,89 @@
 const HOUR_MS: u64 = 3_600_000;
 const MIB: u64 = 1 << 20;
 
-/// Limits towards callers.
+/// Limits for callers.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most bytes of a request body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Most bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// Most connections of callers.
+    /// Maximum number of connections of callers.
     pub max_connections: usize,
-    /// Most streams and calls at once.
+    /// Maximum number of streams and calls at once.
     pub max_streams: usize,
-    /// Longest time to send the headers.
+    /// Maximum time in which a caller sends the headers.
     pub header_timeout: Duration,
-    /// Longest time to send the body.
+    /// Maximum time in which a caller sends the body.
     pub body_timeout: Duration,
-    /// Longest time in which a caller reads nothing of its stream.
+    /// Maximum time in which a caller may read nothing of its stream.
     pub write_timeout: Duration,
-    /// Longest wait for the start of a request.
+    /// Maximum wait for the start of a request.
     pub start_timeout: Duration,
-    /// Longest wait for the answer of a plain service.
+    /// Maximum wait for the answer of a plain service.
     pub call_timeout: Duration,
-    /// Time in which a lost caller may come back before its generation is
-    /// cancelled.
+    /// Time in which a disconnected caller may reconnect before its generation is cancelled.
     pub caller_grace: Duration,
 }
 
-/// A peer known from the settings.
+/// A peer named in the settings.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SeedPeer {
-    /// Its name.
+    /// Name of the peer.
     pub instance: InstanceId,
-    /// Where it listens for peers.
+    /// Address that it listens on for peers.
     pub address: SocketAddr,
 }
 
-/// Settings of one instance, checked.
+/// Validated settings of one instance.
 #[derive(Clone)]
 pub struct Settings {
     /// Name of the instance, as the platform lists it.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub operator_address: SocketAddr,
-    /// Where the other instances connect.
+    /// Address for the other instances.
     pub peer_address: SocketAddr,
-    /// The platform.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Where metrics go, if anywhere.
+    /// StatsD address that metrics are sent to over UDP, if any.
     pub metrics_address: Option<SocketAddr>,
-    /// Peers to ask at the start, for when the platform is down.
+    /// Peers to contact at the start, in case the platform is unavailable.
     pub seed_peers: Vec<SeedPeer>,
-    /// Keys shared by all instances.
+    /// Keys shared by all instances, for messages between peers, cursors and tickets.
     pub keyring: Keyring,
-    /// Least level that is logged.
+    /// Lowest level that is logged.
     pub log_level: slog::Level,
-    /// How engines are chosen.
+    /// Policy that chooses engines.
     pub routing_policy: RoutingPolicy,
-    /// Threads for traffic.
+    /// Number of threads for traffic.
     pub traffic_threads: usize,
-    /// Requests of one workspace that may wait.
+    /// Maximum number of requests of one workspace that wait for an engine.
     pub max_queued: usize,
-    /// Records of the time line.
+    /// Maximum number of records in the timeline.
     pub timeline_records: usize,
-    /// How long a ticket may be spent.
+    /// Time in which a ticket can be spent.
     pub ticket_lifetime: Duration,
-    /// Spent tickets remembered at once.
+    /// Maximum number of spent tickets that are remembered.
     pub max_tickets: usize,
-    /// Time between the stop signal and the end of accepting.
+    /// Time between the stop signal and the refusal of new connections.
     pub stop_linger: Duration,
-    /// Longest time that streams get to finish at a planned stop.
+    /// Maximum time that streams and calls have to finish at a planned stop.
     pub stop_timeout: Duration,
-    /// Limits towards callers.
+    /// Limits for callers.
     pub limits: Limits,
 }
 
 impl Settings {
-    /// Reads settings from a file's text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// Every fault found.
+    /// All faults found in the settings.
     pub fn parse(file: &str, text: &str) -> Result<Settings, Vec<SettingsFault>> {
         let mut reader = SettingsReader::new(file, text);
         let settings = Settings {
--- a/crates/daemon/src/completion/validated_completion.rs
+++ b/crates/daemon/src/completion/validated_completion.rs
@@ -1,4 +1,4 @@
-//! A completion request that was checked against the configuration.
+//! Completion requests validated against the configuration.
 
 use iristhread_api::CompletionRequest;
 use iristhread_core::Cursor;
@@ -14,60 +14,59 @@
 
 use crate::completion::api_error::ApiError;
 
-/// Words of a prompt that stand for its shared prefix.
+/// Number of leading words of a prompt that identify its shared prefix.
 const PREFIX_WORDS: usize = 16;
 
-/// What a caller ordered.
+/// A completion request after validation.
 #[derive(Clone, Debug)]
 pub struct ValidatedCompletion {
-    /// Id of the request: of the generation, followed by `.` and an id of its
-    /// own when the caller has come back.
+    /// Id of the request. For a reconnection, the id of the generation, `.` and an id of its own.
     pub request: RequestId,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Adapter.
+    /// Name of the adapter, if any.
     pub adapter: Option<String>,
-    /// Prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens of the prompt, estimated.
+    /// Estimated number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Higher goes first.
+    /// Priority; requests with a higher value go first.
     pub priority: u8,
     /// Whether the answer is a chat message.
     pub is_chat: bool,
-    /// When it must have started.
+    /// Time by which an engine must have accepted the request.
     pub deadline: Now,
-    /// What the caller holds, if it comes back.
+    /// What the caller has received, if it reconnects.
     pub cursor: Option<Cursor>,
-    /// Tokens that it sent along.
+    /// Tokens received before, as the reconnecting caller sent them; may be empty.
     pub received: Vec<String>,
 }
 
-/// Where a request came from, and by when it must start.
+/// Origin of a request, and its deadline for the start.
 #[derive(Clone, Debug)]
 pub struct RequestContext {
-    /// Id of the request.
+    /// Id of the new request.
     pub request: RequestId,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// Whether it came as a chat.
+    /// Whether the request is a chat request.
     pub is_chat: bool,
-    /// When it must have started.
+    /// Time by which an engine must have accepted the request.
     pub deadline: Now,
-    /// `Last-Event-ID`, if sent.
+    /// Value of the header `Last-Event-ID`, if sent.
     pub last_event_id: Option<String>,
 }
 
 impl ValidatedCompletion {
-    /// Checks a request.
+    /// Validates a request.
     ///
     /// # Errors
     ///
-    /// An [`ApiError`] that names the field at fault.
+    /// An [`ApiError`] that names the invalid field.
     pub fn check(
         context: RequestContext,
         body: CompletionRequest,
@@ -106,7 +105,7 @@
         Ok(completion)
     }
 
-    /// Whom a cursor belongs to: the workspace and the body.
+    /// Returns the digest that binds a cursor to the workspace and the body of its request.
     pub fn owner(&self) -> String {
         let mut hasher = blake3::Hasher::new();
         let adapter = self.adapter.as_deref().unwrap_or_default();
@@ -118,7 +117,7 @@
         hasher.finalize().to_hex().to_string()
     }
 
-    /// What it consists of, for callers that come again.
+    /// Returns the fingerprint of the request, the same when a caller sends the request again.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&FingerprintInput {
             workspace: Some(&self.workspace),
@@ -129,7 +128,8 @@
         })
     }
 
-    /// Identifies the prefix that prompts of the same kind share.
+    /// Returns a hash of the model and the first words of the prompt, the same for prompts that
+    /// share a prefix.
     pub fn prefix(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.model.as_bytes());
@@ -197,13 +197,13 @@
             message,
         ));
     }
-    let Some(wanted) = max_tokens else {
+    let Some(requested) = max_tokens else {
         return Ok(room);
     };
-    match u32::try_from(wanted) {
-        Ok(wanted) if wanted > 0 && wanted <= context => Ok(wanted.min(room)),
+    match u32::try_from(requested) {
+        Ok(requested) if requested > 0 && requested <= context => Ok(requested.min(room)),
         _ => {
-            let message = format!("max_tokens is {wanted}; give a number from 1 to {context}");
+            let message = format!("max_tokens is {requested}; give a number from 1 to {context}");
             Err(ApiError::invalid(
                 "invalid_max_tokens",
                 Some("max_tokens"),
@@ -213,8 +213,8 @@
     }
 }
 
-/// Tokenizers belong to the engines; words are near enough for the forecasts,
-/// which are corrected by the engines' reports.
+/// Estimates the number of tokens by the number of words. Tokenizers belong to the engines; words
+/// are accurate enough for the forecasts, which the engines' load reports correct.
 fn estimated_tokens(prompt: &str) -> u32 {
     let words = prompt.split_whitespace().count();
     u32::try_from(words.max(1)).unwrap_or(u32::MAX)
