--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `iristhreadd`.
+//! The program `iristhreadd`: the daemon of an entry instance.
 
 use std::process::ExitCode;
 
@@ -59,7 +59,7 @@
     finished
 }
 
-/// One JSON line with the addresses, for whoever started this with port 0.
+/// Prints one JSON line with the addresses, for a parent process that has set port 0.
 fn print_addresses(daemon: &Daemon) {
     let line = serde_json::to_string(&daemon.addresses()).unwrap_or_default();
     println!("{line}");
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: resources with their declared and observed state.
+//! The API for operators: resources with their declared and observed state.
 
 pub(crate) mod fleet;
 pub(crate) mod operator_api;
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -1,4 +1,4 @@
-//! Asks all instances on behalf of an operator.
+//! Queries all instances on behalf of an operator.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
 
-/// Longest wait for one instance.
+/// Maximum wait for the answer of one instance.
 const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Instances queries at once.
+/// Maximum number of instances queried at once.
 const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// The time line over all instances that can be reached, in order.
+/// Returns the timeline of all reachable instances, ordered by time.
 pub async fn timeline(app: &App, after: HybridTime, request: Option<String>) -> FleetTimeline {
     let own = request.clone();
     let ask = |reply| ControlMessage::Timeline {
@@ -35,7 +35,9 @@
     let query = PeerRequest::Timeline { after, request };
     for (instance, answer) in query_all(app, query).await {
         match answer {
-            Some(PeerReply::Timeline { records: theirs }) => records.extend(theirs),
+            Some(PeerReply::Timeline {
+                records: peer_records,
+            }) => records.extend(peer_records),
             _ => unreachable.push(instance),
         }
     }
@@ -46,30 +48,30 @@
     }
 }
 
-/// What every listed instance has in force.
+/// Returns the configuration in force on each listed instance.
 pub async fn status(app: &App) -> BTreeMap<String, InstanceStatus> {
-    let mut lines = BTreeMap::new();
+    let mut statuses = BTreeMap::new();
     let ask = |reply| ControlMessage::Snapshot { reply };
     let Some(snapshot) = app.control.ask(ask).await else {
-        return lines;
+        return statuses;
     };
     let versions = versions_of(&app.identity, &snapshot.versions);
     let mut own = InstanceStatus::reached(versions.config_version, versions.config_age_ms);
     own.refused = snapshot.refused.map(|(version, faults)| {
-        let named = faults.iter().map(ToString::to_string).collect::<Vec<_>>();
-        format!("version {version}: {}", named.join("; "))
+        let fault_texts = faults.iter().map(ToString::to_string).collect::<Vec<_>>();
+        format!("version {version}: {}", fault_texts.join("; "))
     });
-    lines.insert(app.identity.instance.clone(), own);
+    statuses.insert(app.identity.instance.clone(), own);
     for (instance, answer) in query_all(app, PeerRequest::Exchange(versions)).await {
-        let line = match answer {
+        let status = match answer {
             Some(PeerReply::Exchange { versions, .. }) => {
                 InstanceStatus::reached(versions.config_version, versions.config_age_ms)
             }
             _ => InstanceStatus::default(),
         };
-        lines.insert(instance, line);
+        statuses.insert(instance, status);
     }
-    lines
+    statuses
 }
 
 async fn query_all(app: &App, query: PeerRequest) -> Vec<(String, Option<PeerReply>)> {
--- a/crates/daemon/src/operators/operator_api.rs
+++ b/crates/daemon/src/operators/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over HTTP: everything is read, nothing written.
+//! The HTTP API for operators; it is read-only.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
     after_count: u32,
 }
 
-/// The routes.
+/// Returns the routes of the API for operators.
 pub fn routes(app: &Arc<App>) -> Router {
     let one = app.clone();
     let all = app.clone();
@@ -136,7 +136,7 @@
     Ok(response)
 }
 
-/// One watch: JSON lines, one per change.
+/// An open watch; sends one JSON line per change.
 struct Watcher {
     app: Arc<App>,
     kind: String,
@@ -148,7 +148,7 @@
 impl Watcher {
     async fn next(&mut self) -> Option<Bytes> {
         loop {
-            // A watch that fell behind the kept changes ends; it starts anew.
+            // A watch that has fallen behind the kept changes ends; its client lists again.
             let changes = self.app.resources.changes(&self.kind, self.seen).ok()?;
             let mut lines = String::new();
             for change in changes {
--- a/crates/daemon/src/operators/resource_builder.rs
+++ b/crates/daemon/src/operators/resource_builder.rs
@@ -1,4 +1,4 @@
-//! Builds resources from a snapshot of what the instance knows.
+//! Builds resources from a snapshot of the instance's state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::completion::control_message::Snapshot;
 use crate::operators::resource_log::Resources;
 
-/// Time between two looks for changes.
+/// Time between two comparisons of the resources.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence after which an instance is shown as silent.
+/// Time without a message after which an instance is shown as silent.
 const SILENT_AFTER_MS: u64 = 30_000;
 
-/// Runs for the life of the process. Resources are compared only while somebody
-/// watches: at the target size that takes longer than all else that is periodic.
+/// Refreshes resources and metrics until the process stops. Resources are compared only while a
+/// watch is open: at the target fleet size this takes longer than all other periodic work.
 pub async fn run_resources(app: Arc<App>) {
     let ask = |reply| ControlMessage::Versions { reply };
     while let Some(own) = app.control.ask(ask).await {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Logs what has changed since the last look.
+/// Builds all resources anew and logs those that have changed.
 pub async fn refresh(app: &App) {
     let ask = |reply| ControlMessage::Snapshot { reply };
     if let Some(snapshot) = app.control.ask(ask).await {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Every resource by kind and name.
+/// Returns all resources by kind and name.
 pub fn resources_of(snapshot: &Snapshot) -> Resources {
     let empty = Arc::new(Document::default());
     let document = snapshot.versions.document.as_ref().unwrap_or(&empty);
@@ -125,7 +125,7 @@
     let lines = document.workspaces.iter().map(|workspace| {
         let mut declared = declared(workspace);
         if let Some(fields) = declared.as_object_mut() {
-            // Hashes of keys are nobody's business.
+            // Hashes of keys are not shown, not even to operators.
             fields.remove("key_hashes");
         }
         let observed = json!({ "open_requests": open.get(&workspace.name) });
@@ -147,7 +147,7 @@
     resources_by_name(servers, |s| &s.name, |s| observed(&s.name))
 }
 
-/// The sequence number of a report changes all the time and is left out.
+/// Leaves out the sequence number of the load report, as it changes with every report.
 fn observed_backend(backend: &BackendSnapshot) -> Value {
     let mut observed = declared(backend);
     if let Some(report) = observed.get_mut("report").and_then(Value::as_object_mut) {
--- a/crates/daemon/src/operators/resource_log.rs
+++ b/crates/daemon/src/operators/resource_log.rs
@@ -1,4 +1,4 @@
-//! Resources with their declared and observed state, and their changes.
+//! Resources with their declared and observed state, and a log of their changes.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -11,10 +11,10 @@
 use iristhread_api::ResourceKind;
 use tokio::sync::watch;
 
-/// Changes kept; a watch from before them has to start anew.
+/// Maximum number of changes kept; a watch from an earlier version has to list the resources again.
 const MAX_CHANGES: usize = 4_096;
 
-/// Resources of each kind by name.
+/// Resources by kind and name.
 pub type Resources = BTreeMap<&'static str, BTreeMap<String, Resource>>;
 
 #[derive(Debug, Default)]
@@ -24,14 +24,15 @@
     changes: VecDeque<(u64, &'static str, ResourceEvent)>,
 }
 
-/// The changes after a version are no longer kept.
+/// Some changes after the requested version are no longer kept.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct VersionTooOld {
-    /// The oldest version that a watch can start from.
+    /// Oldest version that a watch can start from.
     pub oldest: u64,
 }
 
-/// The log of one instance; versions count the changes that it has seen.
+/// The change log of one instance. Its version is the number of changes that this instance has
+/// logged.
 #[derive(Debug)]
 pub struct ResourceLog {
     state: Mutex<State>,
@@ -48,7 +49,7 @@
 }
 
 impl ResourceLog {
-    /// Compares with what was there and logs the changes.
+    /// Replaces the resources and logs each change.
     pub fn update(&self, resources: Resources) {
         let mut state = self.lock();
         for (_, kind) in ResourceKind::ALL {
@@ -66,7 +67,7 @@
         });
     }
 
-    /// All resources of a kind, with the version to watch from.
+    /// Returns the version to watch from, and all resources of a kind.
     pub fn list(&self, kind: &str) -> (u64, Vec<Resource>) {
         let state = self.lock();
         let of_kind = state.current.get(kind);
@@ -74,30 +75,30 @@
         (state.version, items.unwrap_or_default())
     }
 
-    /// Changes of a kind after a version.
+    /// Returns the changes to resources of a kind after a version.
     ///
     /// # Errors
     ///
-    /// [`VersionTooOld`] when some of them are no longer kept.
+    /// [`VersionTooOld`] if some of them are no longer kept.
     pub fn changes(&self, kind: &str, after: u64) -> Result<Vec<ResourceEvent>, VersionTooOld> {
         let state = self.lock();
         let kept_from = state.version - state.changes.len() as u64;
         if after < kept_from {
             return Err(VersionTooOld { oldest: kept_from });
         }
-        let wanted = state
+        let matching = state
             .changes
             .iter()
             .filter(|(v, k, _)| *v > after && *k == kind);
-        Ok(wanted.map(|(_, _, change)| change.clone()).collect())
+        Ok(matching.map(|(_, _, change)| change.clone()).collect())
     }
 
-    /// Tells when the version has changed.
+    /// Returns a receiver that is notified of each new version.
     pub fn versions(&self) -> watch::Receiver<u64> {
         self.versions.subscribe()
     }
 
-    /// Whether anybody waits for a change.
+    /// Whether any watch is open.
     pub fn is_watched(&self) -> bool {
         self.versions.receiver_count() > 0
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of the completion interface, which is read and watched.
+//! Reads and watches the platform, for the completion interface.
 
 pub(crate) mod platform_port;
 pub(crate) mod platform_reader;
--- a/crates/daemon/src/platform/platform_port.rs
+++ b/crates/daemon/src/platform/platform_port.rs
@@ -1,4 +1,4 @@
-//! How an instance reads the platform.
+//! Access to the platform, which is only read.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,36 +10,37 @@
 use iristhread_api::InstancesReply;
 use thiserror::Error;
 
-/// Most bytes of a value: a megabyte by the platform's promise, with room for
-/// the frame around it.
+/// Maximum size of an answer: the platform limits a value to one megabyte; the rest is room for the
+/// message around it.
 const MAX_VALUE_BYTES: usize = 2 << 20;
 
-/// Longest rest of a connection between two watches; one that rests may fall silent.
+/// Maximum time that a connection stays idle between two watches: an idle connection may stall
+/// without being detected.
 const MAX_IDLE: Duration = Duration::from_millis(300);
 
-/// Time on top of a watch after which the platform counts as silent.
+/// Time beyond the wait of a watch after which the platform is considered not to answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a read failed.
+/// Error of a read from the platform.
 #[derive(Debug, Error)]
 pub enum PlatformError {
     /// The request failed.
-    #[error("the platform can't be read: {0}")]
+    #[error("request to the platform failed: {0}")]
     Http(#[from] HttpClientError),
-    /// No answer in time.
+    /// There was no answer in time.
     #[error("the platform did not answer in time")]
     TimedOut,
 }
 
-/// Result of a watch; `None` when nothing changed while it waited.
+/// Result of a watch; `None` if nothing changed while it waited.
 pub type WatchResult<T> = Result<Option<T>, PlatformError>;
 
-/// Reads and watches; nothing can be written.
+/// Read-only access to the platform.
 pub trait PlatformPort: Send + Sync {
-    /// Waits for a configuration other than `after`.
+    /// Waits up to `wait` for a configuration with a version other than `after`.
     fn config(&self, after: u64, wait: Duration) -> BoxFuture<'_, WatchResult<ConfigReply>>;
 
-    /// Waits for an instance list other than `after`.
+    /// Waits up to `wait` for an instance list with a version other than `after`.
     fn instances(&self, after: u64, wait: Duration) -> BoxFuture<'_, WatchResult<InstancesReply>>;
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl HttpPlatform {
-    /// A platform at an address.
+    /// Creates a client for the platform at an address.
     pub fn new(address: SocketAddr) -> Self {
         HttpPlatform {
             client: HttpClient::resting(MAX_VALUE_BYTES, MAX_IDLE),
@@ -60,13 +61,13 @@
 
     async fn watch<T: serde::de::DeserializeOwned>(
         &self,
-        what: &str,
+        resource: &str,
         after: u64,
         wait: Duration,
     ) -> WatchResult<T> {
         let wait_ms = wait.as_millis();
         let uri = format!(
-            "http://{}/{what}?after={after}&wait_ms={wait_ms}",
+            "http://{}/{resource}?after={after}&wait_ms={wait_ms}",
             self.address
         );
         let answer = self.client.json(HttpClient::get(&uri)?);
--- a/crates/daemon/src/platform/platform_reader.rs
+++ b/crates/daemon/src/platform/platform_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the platform while the rota says so.
+//! Reads the platform while this instance is one of its readers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,23 +17,25 @@
 use crate::platform::platform_port::PlatformError;
 use crate::platform::platform_port::PlatformPort;
 
-/// How long one watch waits at the platform.
+/// Maximum time that one watch waits at the platform for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause after a failed read, and the longest after several.
+/// Delay before a retry after the first failed read; doubled after each further one.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// Maximum delay before a retry, without jitter.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(8);
 
-/// Least time between two reads, whatever the platform answers.
-const MIN_READ_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after each successful read, however fast the platform answers.
+const READ_PAUSE: Duration = Duration::from_millis(50);
 
-/// Span over which first reads are spread.
+/// Period over which the first reads of instances are spread.
 const START_SPREAD: Duration = Duration::from_millis(300);
 
-/// Source named in the time line for what comes from the platform.
+/// Source that the timeline names for configurations from the platform.
 const SOURCE: &str = "platform";
 
-/// Feeds the control thread from the platform.
+/// Reads from the platform and passes what it reads to the control thread.
 pub struct PlatformReader {
     platform: Arc<dyn PlatformPort>,
     control: ControlHandle,
@@ -42,7 +44,7 @@
 }
 
 impl PlatformReader {
-    /// A reader that waits for the rota.
+    /// Creates a reader that reads while `reads` is true.
     pub fn new(
         platform: Arc<dyn PlatformPort>,
         control: ControlHandle,
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Reads for the life of the process.
+    /// Reads until the process stops.
     pub async fn run(self) {
         futures::join!(self.watch_config(), self.watch_instances());
     }
@@ -73,11 +75,11 @@
                 Ok(answer) => {
                     retry_delay = INITIAL_RETRY_DELAY;
                     seen = answer.as_ref().map_or(seen, |config| config.version);
-                    let quiet_for = answer.is_none().then_some(WATCH_TIMEOUT);
-                    self.take_config(seen, answer, age(sent.elapsed(), quiet_for));
-                    tokio::time::sleep(MIN_READ_PAUSE).await;
+                    let unchanged_for = answer.is_none().then_some(WATCH_TIMEOUT);
+                    self.take_config(seen, answer, state_age(sent.elapsed(), unchanged_for));
+                    tokio::time::sleep(READ_PAUSE).await;
                 }
-                Err(error) => retry_delay = self.failed(&error, retry_delay).await,
+                Err(error) => retry_delay = self.wait_before_retry(&error, retry_delay).await,
             }
         }
     }
@@ -98,14 +100,14 @@
                             entries: list.entries,
                         });
                     }
-                    tokio::time::sleep(MIN_READ_PAUSE).await;
+                    tokio::time::sleep(READ_PAUSE).await;
                 }
-                Err(error) => retry_delay = self.failed(&error, retry_delay).await,
+                Err(error) => retry_delay = self.wait_before_retry(&error, retry_delay).await,
             }
         }
     }
 
-    /// `ago` is the age of what the answer proves.
+    /// Passes a configuration on. `ago` is the age of the state that the answer confirms.
     fn take_config(&self, seen: u64, answer: Option<ConfigReply>, ago: Duration) {
         if let Some(config) = answer {
             self.control.tell(offered(config, SOURCE));
@@ -114,14 +116,15 @@
             .tell(Event::ConfigConfirmed { version: seen, ago });
     }
 
-    async fn failed(&self, error: &PlatformError, retry_delay: Duration) -> Duration {
-        warn!(self.log, "reading the platform failed"; "error" => %error);
+    /// Logs a failed read, waits and returns the delay before the next retry.
+    async fn wait_before_retry(&self, error: &PlatformError, retry_delay: Duration) -> Duration {
+        warn!(self.log, "failed to read from the platform"; "error" => %error);
         let jitter = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(retry_delay.mul_f64(jitter)).await;
         (retry_delay * 2).min(MAX_RETRY_DELAY)
     }
 
-    /// Spreads the first reads of instances that all start at once.
+    /// Waits for a random time, to spread the first reads of instances that start at once.
     async fn spread_start(&self) {
         let share = rand::rng().random_range(0.0..1.0);
         tokio::time::sleep(START_SPREAD.mul_f64(share)).await;
@@ -129,12 +132,12 @@
 
     async fn wait_until_reader(&self) {
         let mut reads = self.reads.clone();
-        // Fails only when the process is stopping.
+        // Fails only if the process is stopping.
         let _ = reads.wait_for(|reads| *reads).await;
     }
 }
 
-/// The event for a configuration that was read, readable or not.
+/// Returns the event for a configuration that was read, whether it can be parsed or not.
 pub fn offered(config: ConfigReply, source: &str) -> Event {
     match serde_json::from_value::<Document>(config.document) {
         Ok(document) => Event::ConfigOffered {
@@ -149,9 +152,10 @@
     }
 }
 
-/// How old what an answer proves is, after a call that took so long: the process may have
-/// stood still before it handled the answer.
-fn age(took: Duration, quiet_for: Option<Duration>) -> Duration {
-    let proven = WatchCycle::default().answered(Duration::ZERO, quiet_for, took);
-    took.saturating_sub(proven)
+/// Returns the age of the state that an answer confirms, for a call that took `took`. The process
+/// may have been suspended before it handled the answer; so without a known time of the answer, the
+/// state is as old as the call.
+fn state_age(took: Duration, unchanged_for: Option<Duration>) -> Duration {
+    let confirmed_at = WatchCycle::default().answered(Duration::ZERO, unchanged_for, took);
+    took.saturating_sub(confirmed_at)
 }
--- a/crates/daemon/tests/resource_log.rs
+++ b/crates/daemon/tests/resource_log.rs
@@ -1,4 +1,5 @@
-//! Changes of resources are logged once, and a watch that is too old is told.
+//! The resource log: each change is logged once, and a watch from a version that is no longer kept
+//! is refused with the oldest one that is.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::collections::BTreeMap;
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn a_change_is_logged_once_and_an_end_as_deleted() {
+fn logs_each_change_once_and_a_removal_as_deleted() {
     let log = ResourceLog::default();
     log.update(with_weight(1));
     log.update(with_weight(1));
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_watch_from_a_version_too_old_is_told_where_to_start() {
+fn refuses_a_version_too_old_and_names_the_oldest() {
     let log = ResourceLog::default();
     (0..5_000).for_each(|weight| log.update(with_weight(weight)));
     let (version, _) = log.list("workspaces");
