--- a/crates/core/src/completion/backend_view.rs
+++ b/crates/core/src/completion/backend_view.rs
@@ -1,4 +1,4 @@
-//! What one instance believes about one backend server.
+//! State of one backend server as seen by one instance.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::ServerBackoff;
 use crate::ServerNotice;
 
-/// Lag that reports are taken to have when they arrive.
+/// Assumed age of a load report when it arrives.
 const REPORT_LAG: Duration = Duration::from_millis(300);
 
-/// Stands for the class of sessions about which only their number is known.
+/// Class of sessions of which only the number is known.
 const ANY_CLASS: &str = "";
 
-/// Belief about one backend server, corrected by what was sent to it since its
-/// last report.
+/// Estimated state of one backend server: its last load report, corrected by the requests that
+/// this instance has sent to it since.
 #[derive(Clone, Debug)]
 pub struct BackendView {
     pub(crate) server: BackendServer,
@@ -33,15 +33,15 @@
     own: MemoryDemand,
     started_since: MemoryDemand,
     sessions: HashMap<RequestId, OwnSession>,
-    pause: FailureBackoff,
-    /// The rest that it asked for, until it has taken work again.
-    rest: Option<ServerBackoff>,
-    /// Whether one of its answers said that it leaves.
-    said_leaving: bool,
+    failure_backoff: FailureBackoff,
+    /// Backoff that the server asked for, until it accepts work again.
+    backoff: Option<ServerBackoff>,
+    /// Whether a server notice said that the server is draining.
+    notice_draining: bool,
 }
 
 impl BackendView {
-    /// A backend server about which nothing is known yet.
+    /// Creates the view of a backend server that has not reported yet.
     pub fn new(server: BackendServer) -> Self {
         BackendView {
             server,
@@ -51,14 +51,14 @@
             own: MemoryDemand::default(),
             started_since: MemoryDemand::default(),
             sessions: HashMap::new(),
-            pause: FailureBackoff::default(),
-            rest: None,
-            said_leaving: false,
+            failure_backoff: FailureBackoff::default(),
+            backoff: None,
+            notice_draining: false,
         }
     }
 
-    /// Takes a newer report; a repeated sequence number refreshes nothing. Returns whether
-    /// it is the first of another life.
+    /// Applies a load report; a report with a repeated sequence number is ignored. Returns
+    /// whether it is the first one of a new incarnation.
     pub(crate) fn take_report(
         &mut self,
         now: Now,
@@ -72,14 +72,15 @@
         if repeated {
             return false;
         }
-        let is_new_life = self
+        let is_new_incarnation = self
             .report
             .as_ref()
             .is_some_and(|last| report.sequence < last.sequence);
-        if is_new_life {
-            // It counts its reports from its start: what the life before said is void.
-            self.rest = None;
-            self.said_leaving = false;
+        if is_new_incarnation {
+            // A server counts its reports from its start, so a lower number means a new
+            // incarnation. Notices of the previous one no longer apply.
+            self.backoff = None;
+            self.notice_draining = false;
         }
         let own_tokens = self.sessions.values().map(OwnSession::size).sum();
         self.own_at_report = (self.own_sessions(), own_tokens);
@@ -87,10 +88,11 @@
         self.reported_at = now;
         self.started_since = MemoryDemand::default();
         self.refresh(estimator);
-        is_new_life
+        is_new_incarnation
     }
 
-    /// Sums up anew: the estimator has learnt, and rounding errors add up.
+    /// Recomputes the demand of all sessions, because the estimates change as the estimator learns
+    /// and the running sum accumulates rounding errors.
     fn refresh(&mut self, estimator: &LengthEstimator) {
         self.own = MemoryDemand::default();
         for session in self.sessions.values_mut() {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Counts a session of this instance.
+    /// Adds a session of this instance.
     pub(crate) fn start(
         &mut self,
         now: Now,
@@ -111,20 +113,20 @@
         self.own.add(&session.counted, 1.0);
         self.started_since.add(&session.counted, 1.0);
         self.end(&request);
-        if let Some(rest) = &mut self.rest {
-            rest.sent(now, &request);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.sent(now, &request);
         }
         self.sessions.insert(request, session);
     }
 
-    /// Notes how far a session is.
+    /// Records the number of tokens that a session has generated.
     pub(crate) fn progress(
         &mut self,
         request: &RequestId,
         generated: u32,
         estimator: &LengthEstimator,
     ) {
-        self.rest.take_if(|rest| rest.is_ended_by(request));
+        self.backoff.take_if(|backoff| backoff.is_ended_by(request));
         if let Some(session) = self.sessions.get_mut(request) {
             self.own.add(&session.counted, -1.0);
             session.generated = generated;
@@ -133,98 +135,102 @@
         }
     }
 
-    /// Counts a session no longer.
+    /// Removes a session.
     pub(crate) fn end(&mut self, request: &RequestId) {
-        if let Some(rest) = &mut self.rest {
-            rest.gone(request);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.gone(request);
         }
         if let Some(session) = self.sessions.remove(request) {
             self.own.add(&session.counted, -1.0);
         }
     }
 
-    /// Notes a failure of a request or report; pauses the backend server with
-    /// exponential backoff.
+    /// Records a failed request or report and starts or extends the exponential backoff.
     pub(crate) fn fail(&mut self, now: Now) {
-        self.pause.fail(now);
+        self.failure_backoff.fail(now);
     }
 
-    /// Notes success: the backend server counts as well again.
+    /// Records a success, which ends the backoff after failures.
     pub(crate) fn succeed(&mut self) {
-        self.pause.succeed();
+        self.failure_backoff.succeed();
     }
 
-    /// Notes what one of its answers said of it.
-    pub(crate) fn noticed(&mut self, now: Now, notice: &ServerNotice) {
-        self.said_leaving |= notice.is_leaving;
+    /// Applies a server notice from one of the server's answers.
+    pub(crate) fn observe_notice(&mut self, now: Now, notice: &ServerNotice) {
+        self.notice_draining |= notice.is_leaving;
         if let Some(time) = notice.rest() {
-            let rest = self.rest.get_or_insert_default();
-            rest.asked(now, time);
+            let backoff = self.backoff.get_or_insert_default();
+            backoff.asked(now, time);
         }
     }
 
-    /// Notes that it answered a call: it takes work, unless it asked for rest since.
+    /// Records an answered call: the server accepts work, unless it has asked for a backoff since.
     pub(crate) fn answered(&mut self, now: Now) {
-        self.pause.succeed();
-        self.rest.take_if(|rest| rest.is_over(now));
+        self.failure_backoff.succeed();
+        self.backoff.take_if(|backoff| backoff.is_over(now));
     }
 
-    /// Whether a call may be sent now; the first one after a rest tries it.
+    /// Returns whether a call may be sent now, and if so counts it as sent. The first call after a
+    /// backoff is the trial request.
     pub(crate) fn may_call(&mut self, now: Now, request: &RequestId) -> bool {
-        if self.leaves() || !self.has_rested(now) {
+        if self.is_draining() || !self.backoff_allows_send(now) {
             return false;
         }
-        if let Some(rest) = &mut self.rest {
-            rest.sent(now, request);
+        if let Some(backoff) = &mut self.backoff {
+            backoff.sent(now, request);
         }
         true
     }
 
-    /// Whether it leaves, by whatever word.
-    pub(crate) fn leaves(&self) -> bool {
+    /// Whether the server is draining according to the configuration, its load report or a notice.
+    pub(crate) fn is_draining(&self) -> bool {
         let reported = self.report.as_ref().is_some_and(|report| report.leaving);
-        self.server.leaving || reported || self.said_leaving
+        self.server.leaving || reported || self.notice_draining
     }
 
-    /// How much longer it rests, if it does.
-    pub(crate) fn rest_left(&self, now: Now) -> Option<Duration> {
-        let left = self.rest.as_ref().map(|rest| rest.left(now));
+    /// Remaining time of the backoff that the server asked for, if any.
+    pub(crate) fn backoff_left(&self, now: Now) -> Option<Duration> {
+        let left = self.backoff.as_ref().map(|backoff| backoff.left(now));
         left.filter(|left| !left.is_zero())
     }
 
-    fn has_rested(&self, now: Now) -> bool {
-        self.rest.as_ref().is_none_or(|rest| rest.may_send(now))
+    fn backoff_allows_send(&self, now: Now) -> bool {
+        self.backoff
+            .as_ref()
+            .is_none_or(|backoff| backoff.may_send(now))
     }
 
-    /// Why no new work may go there now, if so.
+    /// Returns why the server can't take new work now, or `None` if it can.
     pub(crate) fn ruled_out(&self, now: Now) -> Option<&'static str> {
         if self.server.leaving {
             return Some("leaving by configuration");
         }
-        if self.leaves() {
+        if self.is_draining() {
             return Some("leaving by its own notice");
         }
-        if !self.has_rested(now) {
+        if !self.backoff_allows_send(now) {
             return Some("resting at its own request");
         }
-        if self.pause.is_backing_off(now) {
+        if self.failure_backoff.is_backing_off(now) {
             return Some("paused after failures");
         }
         None
     }
 
-    /// Whether it is on probation: the pause is over, and one request may try.
+    /// Whether the server is on probation: the backoff after failures is over, and one trial
+    /// request is allowed.
     pub(crate) fn on_probation(&self) -> bool {
-        self.pause.on_probation()
+        self.failure_backoff.on_probation()
     }
 
-    /// Sessions of this instance there.
+    /// Number of sessions that this instance runs on the server.
     pub(crate) fn own_sessions(&self) -> u32 {
         u32::try_from(self.sessions.len()).unwrap_or(u32::MAX)
     }
 
-    /// Sessions of all instances there, as far as known: the report, corrected
-    /// by own starts and ends since. Others are taken to do as this instance.
+    /// Estimated number of sessions of all instances on the server: the reported number, corrected
+    /// by the sessions that this instance has started and ended since. Without a report, the
+    /// other instances are assumed to run as many sessions as this one.
     pub(crate) fn sessions_of_all(&self, sharers: u32) -> f64 {
         let Some(report) = &self.report else {
             return f64::from(self.own_sessions() * sharers);
@@ -234,19 +240,19 @@
         others + f64::from(self.own_sessions())
     }
 
-    /// Time of one decoding step as reported, milliseconds.
+    /// Reported duration of one decoding step in milliseconds; 0 without a report.
     pub(crate) fn step_ms(&self) -> f64 {
         self.report.as_ref().map_or(0.0, |report| report.step_ms)
     }
 
-    /// Sessions waiting inside the engine as reported.
+    /// Reported number of sessions that wait inside the engine; 0 without a report.
     pub(crate) fn waiting(&self) -> u32 {
         self.report.as_ref().map_or(0, |report| report.waiting)
     }
 
-    /// Predicts memory at the horizon at which it is scarcest, with `need`
-    /// added. `margin` counts standard deviations. The cost does not depend on
-    /// the number of sessions: their sums are kept up to date.
+    /// Predicts the memory use with `need` added, at the horizon at which memory is scarcest.
+    /// `margin` is a number of standard deviations. The cost does not depend on the number of
+    /// sessions, because their sums are maintained incrementally.
     pub(crate) fn forecast(
         &self,
         context: &RoutingContext<'_>,
@@ -258,15 +264,16 @@
         };
         let mut sum = self.own.clone();
         sum.add(&need.demand(context.estimator), 1.0);
-        // The others do as this instance: what it started since the report,
-        // each of them started as well.
+        // The other instances are assumed to have started as many sessions since the report as
+        // this one.
         let others = f64::from(context.sharers.saturating_sub(1));
         sum.add(&self.started_since, others);
         sum.add(&self.others(context.now, context.estimator, report), 1.0);
         sum.forecast(report.memory_tokens, margin)
     }
 
-    /// Sessions of other instances, as the report shows them, grown since.
+    /// Demand of the sessions of other instances: the reported sessions, with the tokens that they
+    /// have generated since.
     fn others(&self, now: Now, estimator: &LengthEstimator, report: &LoadReport) -> MemoryDemand {
         let reported = f64::from(report.running + report.waiting);
         let count = reported - f64::from(self.own_at_report.0);
@@ -279,7 +286,7 @@
         MemoryDemand::of(estimator, ANY_CLASS, size, generated).times(count)
     }
 
-    /// Tokens that a session has grown by since the state that the report shows.
+    /// Estimated number of tokens that a session has generated since the report was taken.
     fn steps_since_report(&self, now: Now, report: &LoadReport) -> f64 {
         let age = now.saturating_sub(self.reported_at) + REPORT_LAG;
         if report.step_ms <= 0.0 {
--- a/crates/core/src/servers.rs
+++ b/crates/core/src/servers.rs
@@ -1,5 +1,5 @@
-//! What is believed of single backend servers: what they said of themselves, their failures, and
-//! the requests under which they end.
+//! State of single backend servers: the notices in their answers, their failures, and the
+//! requests that are suspected to crash them.
 
 pub(crate) mod draining_marks;
 pub(crate) mod failure_backoff;
--- a/crates/daemon/src/directory/config_reader.rs
+++ b/crates/daemon/src/directory/config_reader.rs
@@ -11,7 +11,7 @@
 use iristhread_core::Revision;
 use iristhread_core::WatchCycle;
 use iristhread_core::read_timing::FIRST_PAUSE;
-use iristhread_core::read_timing::LOOK_AGAIN;
+use iristhread_core::read_timing::READ_CHECK_INTERVAL;
 use slog::Logger;
 use slog::info;
 
@@ -69,7 +69,7 @@
             if !reads {
                 revision = None;
                 trouble.left_to_others(&self.log);
-                tokio::time::sleep(LOOK_AGAIN).await;
+                tokio::time::sleep(READ_CHECK_INTERVAL).await;
                 continue;
             }
             let sent = self.clock.now();
