--- a/crates/daemon/src/completion/generation.rs
+++ b/crates/daemon/src/completion/generation.rs
@@ -174,7 +174,7 @@
                 total,
                 reason,
             } => match self.session.end(&generation, attempt, total) {
-                EndVerdict::Whole => Step::Complete(reason),
+                EndVerdict::Complete => Step::Complete(reason),
                 EndVerdict::Foreign => Step::Continue,
                 EndVerdict::Gap => Step::Lost("end mark before the last token"),
             },
