--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -38,7 +38,7 @@
 use crate::peers::peer_message::ForwardedCall;
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
-use crate::relaying::patience;
+use crate::relaying::answer_timeout;
 
 /// Runs a call that may be repeated: tries again elsewhere after a failure.
 pub async fn run_repeatable(app: &App, call: &ForwardedCall) -> CallAnswer {
@@ -244,7 +244,7 @@
     let sent_at = app.clock.now();
     let left = deadline.saturating_sub(sent_at);
     let due = tokio::time::Instant::now() + left;
-    let fetched = patience::until(due, app.services.fetch(request)).await;
+    let fetched = answer_timeout::until(due, app.services.fetch(request)).await;
     let backend = runner.name.clone();
     let (result, cause) = match &fetched {
         Some(Ok(reply)) => (result_of(reply), None),
--- a/crates/daemon/src/engines/notices.rs
+++ b/crates/daemon/src/engines/notices.rs
@@ -23,7 +23,7 @@
 use crate::gateway::gateway_metrics::GatewayMetrics;
 use crate::gateway::gateway_thread::GatewayHandle;
 use crate::process::clock::Clock;
-use crate::relaying::dialect::ResumePoint;
+use crate::relaying::wire_protocol::ResumePoint;
 
 /// Names questions in logs.
 const REPORT: &str = "report";
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -48,8 +48,8 @@
 use crate::process::clock::Clock;
 use crate::process::http_server;
 use crate::process::http_server::ConnectionLimits;
-use crate::relaying::dialect::Dialect;
-use crate::relaying::gateway_front;
+use crate::relaying::http_front_end;
+use crate::relaying::wire_protocol::WireProtocol;
 
 pub(crate) mod gateway_answers;
 pub(crate) mod gateway_message;
@@ -84,7 +84,7 @@
 /// The adapters to the outside world.
 pub struct GatewayPorts {
     /// Headers of callers and backend servers.
-    pub dialect: Arc<dyn Dialect>,
+    pub wire_protocol: Arc<dyn WireProtocol>,
     /// The platform's directory.
     pub directory: Arc<dyn Directory>,
     /// Orders to engines.
@@ -102,7 +102,7 @@
     /// Decisions.
     pub control: GatewayHandle,
     /// Headers of callers and backend servers.
-    pub dialect: Arc<dyn Dialect>,
+    pub wire_protocol: Arc<dyn WireProtocol>,
     /// Orders to engines.
     pub mover: Arc<dyn SessionMover>,
     /// What backend servers say of themselves.
@@ -197,7 +197,7 @@
             identity,
             clock,
             control: control.clone(),
-            dialect: ports.dialect,
+            wire_protocol: ports.wire_protocol,
             mover,
             notices,
             client: HttpClient::impatient(MAX_ANSWER_BYTES, BACKEND_CONNECT_TIMEOUT),
@@ -234,7 +234,7 @@
             service_fn(move |request: Request<Incoming>| {
                 let app = app.clone();
                 async move {
-                    Ok::<_, std::convert::Infallible>(gateway_front::answer(app, request).await)
+                    Ok::<_, std::convert::Infallible>(http_front_end::answer(app, request).await)
                 }
             })
         };
--- a/crates/daemon/src/relaying.rs
+++ b/crates/daemon/src/relaying.rs
@@ -1,11 +1,11 @@
-//! Requests on their way: the border to their headers, whole answers, and streams.
+//! Request relaying: the wire protocol of headers, buffered answers and event streams.
 
-pub(crate) mod dialect;
+pub(crate) mod answer_timeout;
+pub(crate) mod buffered_call;
+pub(crate) mod caller_answer;
 pub(crate) mod event_splitter;
 pub(crate) mod exchange;
-pub(crate) mod front_answer;
-pub(crate) mod gateway_front;
-pub(crate) mod patience;
-pub(crate) mod plain_call;
+pub(crate) mod http_front_end;
 pub(crate) mod stream_call;
 pub(crate) mod stream_relay;
+pub(crate) mod wire_protocol;
--- a/crates/daemon/src/relaying/plain_call.rs
+++ b/crates/daemon/src/relaying/buffered_call.rs
@@ -1,5 +1,5 @@
-//! Requests that are answered whole: the answer is passed on when all of it is
-//! there, so that a broken one never looks whole.
+//! Requests with buffered answers: an answer is forwarded once all of it has arrived, so that a
+//! truncated answer never looks complete.
 
 use std::time::Duration;
 
@@ -25,50 +25,49 @@
 
 use crate::engines::engine_watch::look_at_broken;
 use crate::gateway::gateway_message::GatewayMessage;
+use crate::relaying::answer_timeout;
+use crate::relaying::caller_answer;
+use crate::relaying::caller_answer::CallerAnswer;
 use crate::relaying::exchange::BackendAnswer;
 use crate::relaying::exchange::Exchange;
 use crate::relaying::exchange::RunGuard;
-use crate::relaying::exchange::Sent;
-use crate::relaying::front_answer;
-use crate::relaying::front_answer::FrontAnswer;
-use crate::relaying::patience;
+use crate::relaying::exchange::SendOutcome;
 
-/// Most bytes of an answer that is held until it is whole: the most that
-/// callers may send themselves, by default.
+/// Maximum size of a buffered answer body: the default maximum size of a request body.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Advice when the request was refused by its backend server.
+/// Retry-After when the backend server refused the request.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// An answer that is whole.
-struct WholeAnswer {
+/// An answer with a complete body.
+struct BufferedAnswer {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// What became of one try.
-struct Attempted {
+/// The result of one attempt.
+struct AttemptResult {
     result: SendResult,
-    answer: Option<WholeAnswer>,
-    /// How the request leaves the server.
+    answer: Option<BufferedAnswer>,
+    /// How the run at the server ended.
     end: RunEnd,
 }
 
-/// How a call ended.
-struct EndedCall {
+/// A finished call.
+struct FinishedCall {
     outcome: Outcome,
     end: CallEnd,
-    /// The last answer that may be passed on.
-    answer: Option<WholeAnswer>,
-    /// The backend server that was tried last.
+    /// The last answer that may be forwarded.
+    answer: Option<BufferedAnswer>,
+    /// The backend server of the last attempt.
     last_server: Option<BackendId>,
 }
 
-/// Runs a request and answers its caller.
-pub async fn run(exchange: &Exchange) -> FrontAnswer {
+/// Relays a request and returns the answer for its caller.
+pub async fn run(exchange: &Exchange) -> CallerAnswer {
     let app = &exchange.app;
-    // Only sessions are told of later decisions.
+    // Only sessions receive signals about later decisions.
     let (signals, _) = mpsc::unbounded_channel();
     let ranking = match exchange.place(signals).await {
         Ok(ranking) => ranking,
@@ -90,15 +89,15 @@
         Outcome::NotRun => exchange.caller_retry_after(REFUSED_RETRY_AFTER).await,
         Outcome::Ran | Outcome::Unknown => REFUSED_RETRY_AFTER,
     };
-    told(call, retry_after)
+    into_caller_answer(call, retry_after)
 }
 
-/// Drives the decisions of a [`CallRun`].
-async fn drive(exchange: &Exchange, ranking: &Ranking, guard: &mut RunGuard) -> EndedCall {
+/// Executes the steps that a [`CallRun`] decides on.
+async fn drive(exchange: &Exchange, ranking: &Ranking, guard: &mut RunGuard) -> FinishedCall {
     let app = &exchange.app;
     let repeatable = exchange.route.class == RequestClass::Repeatable;
     let names = ranking.replicas.iter().map(|r| r.id.clone()).collect();
-    let mut decisions = CallRun::new(repeatable, names, exchange.answer_by)
+    let mut decisions = CallRun::new(repeatable, names, exchange.answer_deadline)
         .with_tries(exchange.route.max_attempts.max(1));
     let mut last = None;
     let mut last_server = None;
@@ -106,14 +105,14 @@
     loop {
         let mut step = decisions.next(app.clock.now());
         if let (CallStep::Send(name), Some(result)) = (&step, previous)
-            && !exchange.may_send_again(name, result).await
+            && !exchange.may_retry(name, result).await
         {
             step = decisions.give_up();
         }
         let name = match step {
             CallStep::Send(name) => name,
             CallStep::End { outcome, end } => {
-                return EndedCall {
+                return FinishedCall {
                     outcome,
                     end,
                     answer: last,
@@ -125,56 +124,56 @@
             continue;
         };
         last_server = Some(replica.id.clone());
-        let Attempted {
+        let AttemptResult {
             result,
             answer,
             end,
         } = attempt(exchange, replica, repeatable).await;
-        debug!(app.log, "try ended";
+        debug!(app.log, "attempt ended";
             "request" => &exchange.head.request,
             "backend_server" => &replica.id,
             "result" => format!("{result:?}"));
         app.metrics.tried(result.as_str());
-        guard.ends(end);
+        guard.set_end(end);
         decisions.sent(result);
         previous = Some(result);
         last = answer.or(last);
     }
 }
 
-async fn attempt(exchange: &Exchange, replica: &Replica, repeatable: bool) -> Attempted {
-    let by = exchange.try_until(repeatable);
+async fn attempt(exchange: &Exchange, replica: &Replica, repeatable: bool) -> AttemptResult {
+    let by = exchange.attempt_deadline(repeatable);
     let sent = exchange.send(replica, None, None, by).await;
-    let is_unsent = matches!(sent, Sent::ZoneClosed | Sent::Withheld(_));
-    let (result, answer) = judged(exchange, replica, sent, by).await;
+    let is_unsent = matches!(sent, SendOutcome::ZoneEvacuated | SendOutcome::Withheld(_));
+    let (result, answer) = classify(exchange, replica, sent, by).await;
     if matches!(result, SendResult::Lost | SendResult::NotConnected) && !is_unsent {
         exchange.app.control.tell(GatewayMessage::Failed {
             replica: replica.server_life(),
         });
     }
-    Attempted {
+    AttemptResult {
         result,
         answer,
-        // A server that was sent nothing has not failed.
+        // A server that received nothing has not failed.
         end: match is_unsent {
             true => RunEnd::Refused,
-            false => end_of(result),
+            false => run_end_of(result),
         },
     }
 }
 
-async fn judged(
+async fn classify(
     exchange: &Exchange,
     replica: &Replica,
-    sent: Sent,
+    sent: SendOutcome,
     by: Now,
-) -> (SendResult, Option<WholeAnswer>) {
+) -> (SendResult, Option<BufferedAnswer>) {
     match sent {
-        Sent::NotConnected(_) | Sent::ZoneClosed | Sent::Withheld(_) => {
+        SendOutcome::NotConnected(_) | SendOutcome::ZoneEvacuated | SendOutcome::Withheld(_) => {
             (SendResult::NotConnected, None)
         }
-        Sent::Lost(cause) => {
-            info!(exchange.app.log, "try broke off";
+        SendOutcome::Lost(cause) => {
+            info!(exchange.app.log, "connection lost during an attempt";
                 "request" => &exchange.head.request,
                 "content" => exchange.fingerprint.to_string(),
                 "backend_server" => &replica.id,
@@ -182,9 +181,9 @@
             look_at_broken(&exchange.app, &exchange.head.request, replica).await;
             (SendResult::Lost, None)
         }
-        Sent::TimedOut => (SendResult::Lost, None),
-        Sent::Answer(answer) => {
-            let collected = collected(exchange, *answer, by).await;
+        SendOutcome::TimedOut => (SendResult::Lost, None),
+        SendOutcome::Answer(answer) => {
+            let collected = collect_answer(exchange, *answer, by).await;
             if collected.0 == SendResult::Lost {
                 look_at_broken(&exchange.app, &exchange.head.request, replica).await;
             }
@@ -193,40 +192,44 @@
     }
 }
 
-async fn collected(
+async fn collect_answer(
     exchange: &Exchange,
     answer: BackendAnswer,
     by: Now,
-) -> (SendResult, Option<WholeAnswer>) {
+) -> (SendResult, Option<BufferedAnswer>) {
     if answer.head.is_not_run {
         return (SendResult::SaidNotRun, None);
     }
-    if answer.is_false_promise() {
+    if answer.is_ambiguous_refusal() {
         return (SendResult::Failed, None);
     }
-    let whole = match whole(exchange, answer, by).await {
-        Some(whole) => whole,
+    let buffered = match read_whole_answer(exchange, answer, by).await {
+        Some(buffered) => buffered,
         None => return (SendResult::Lost, None),
     };
-    let result = match whole.status.is_server_error() {
+    let result = match buffered.status.is_server_error() {
         true => SendResult::Failed,
         false => SendResult::Answered,
     };
-    (result, Some(whole))
+    (result, Some(buffered))
 }
 
-async fn whole(exchange: &Exchange, answer: BackendAnswer, by: Now) -> Option<WholeAnswer> {
+async fn read_whole_answer(
+    exchange: &Exchange,
+    answer: BackendAnswer,
+    by: Now,
+) -> Option<BufferedAnswer> {
     let by = exchange.app.clock.instant(by);
     let body = Limited::new(answer.body, MAX_ANSWER_BYTES).collect();
-    let body = patience::until(by, body).await?.ok()?;
-    Some(WholeAnswer {
+    let body = answer_timeout::until(by, body).await?.ok()?;
+    Some(BufferedAnswer {
         status: answer.status,
         headers: answer.headers,
         body: body.to_bytes(),
     })
 }
 
-fn end_of(result: SendResult) -> RunEnd {
+fn run_end_of(result: SendResult) -> RunEnd {
     match result {
         SendResult::Answered | SendResult::Failed => RunEnd::Answered,
         SendResult::SaidNotRun => RunEnd::Refused,
@@ -234,37 +237,37 @@
     }
 }
 
-fn told(call: EndedCall, retry_after: Duration) -> FrontAnswer {
+fn into_caller_answer(call: FinishedCall, retry_after: Duration) -> CallerAnswer {
     if let Some(answer) = call.answer
         && call.end == CallEnd::Answer
     {
-        let body = front_answer::whole(answer.body);
-        return front_answer::passed_on(answer.status, &answer.headers, body);
+        let body = caller_answer::full_body(answer.body);
+        return caller_answer::forwarded(answer.status, &answer.headers, body);
     }
     match call.outcome {
-        Outcome::NotRun => front_answer::not_run(
+        Outcome::NotRun => caller_answer::not_run(
             retry_after,
             "no backend server took the request; it was not run",
         ),
-        Outcome::Ran | Outcome::Unknown => front_answer::own(
+        Outcome::Ran | Outcome::Unknown => caller_answer::from_gateway(
             StatusCode::BAD_GATEWAY,
             "the backend server gave no answer; the request may have run",
         ),
     }
 }
 
-/// An answer to a stream's request that is no stream.
-pub async fn pass_on_whole(exchange: &Exchange, answer: BackendAnswer) -> FrontAnswer {
-    let (result, answer) = collected(exchange, answer, exchange.answer_by).await;
+/// Buffers and forwards an answer that is not a stream to a request for a stream.
+pub async fn forward_buffered(exchange: &Exchange, answer: BackendAnswer) -> CallerAnswer {
+    let (result, answer) = collect_answer(exchange, answer, exchange.answer_deadline).await;
     let outcome = match result {
         SendResult::SaidNotRun => Outcome::NotRun,
         _ => Outcome::Unknown,
     };
-    let call = EndedCall {
+    let call = FinishedCall {
         outcome,
         end: CallEnd::Answer,
         answer,
         last_server: None,
     };
-    told(call, REFUSED_RETRY_AFTER)
+    into_caller_answer(call, REFUSED_RETRY_AFTER)
 }
--- a/crates/daemon/src/relaying/front_answer.rs
+++ b/crates/daemon/src/relaying/caller_answer.rs
@@ -1,4 +1,4 @@
-//! The answers that the gateway itself gives to callers.
+//! Builds the HTTP answers for callers.
 
 use std::time::Duration;
 
@@ -16,45 +16,45 @@
 use hyper::body::Frame;
 use thiserror::Error;
 
-/// A stream that ends early must not look whole: this error makes the server
-/// break the connection off.
+/// A stream that ends early must not look complete: this error makes the HTTP server abort the
+/// connection.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the stream broke off before its end")]
+#[error("the stream ended prematurely")]
 pub struct StreamBroken;
 
-/// Body of every answer to a caller.
-pub type FrontBody = UnsyncBoxBody<Bytes, StreamBroken>;
+/// Body type of all answers to callers.
+pub type CallerBody = UnsyncBoxBody<Bytes, StreamBroken>;
 
-/// Answer to a caller.
-pub type FrontAnswer = Response<FrontBody>;
+/// Answer to a caller, buffered or streamed.
+pub type CallerAnswer = Response<CallerBody>;
 
-/// A whole body.
-pub fn whole(bytes: Bytes) -> FrontBody {
+/// Returns a body that is complete already.
+pub fn full_body(bytes: Bytes) -> CallerBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// A body that arrives piece by piece.
-pub fn streamed<S>(pieces: S) -> FrontBody
+/// Returns a body whose frames arrive over time.
+pub fn stream_body<S>(pieces: S) -> CallerBody
 where
     S: Stream<Item = Result<Frame<Bytes>, StreamBroken>> + Send + 'static,
 {
     StreamBody::new(pieces).boxed_unsync()
 }
 
-/// An answer of the gateway's own, with a sentence for the caller.
-pub fn own(status: StatusCode, message: &str) -> FrontAnswer {
-    let mut answer = Response::new(whole(Bytes::from(format!("{message}\n"))));
+/// Returns an answer that the gateway generates itself, with a plain-text message for the caller.
+pub fn from_gateway(status: StatusCode, message: &str) -> CallerAnswer {
+    let mut answer = Response::new(full_body(Bytes::from(format!("{message}\n"))));
     *answer.status_mut() = status;
     let text = HeaderValue::from_static("text/plain");
     answer.headers_mut().insert(header::CONTENT_TYPE, text);
     answer
 }
 
-/// 503: the request was not run and will not be; come back after a while.
-pub fn not_run(retry_after: Duration, message: &str) -> FrontAnswer {
-    let mut answer = own(StatusCode::SERVICE_UNAVAILABLE, message);
+/// Returns a 503 with Retry-After: the request was not run and will not be run.
+pub fn not_run(retry_after: Duration, message: &str) -> CallerAnswer {
+    let mut answer = from_gateway(StatusCode::SERVICE_UNAVAILABLE, message);
     let seconds = format!("{:.2}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         answer.headers_mut().insert(header::RETRY_AFTER, value);
@@ -62,16 +62,16 @@
     answer
 }
 
-/// A backend server's answer, passed on.
-pub fn passed_on(status: StatusCode, headers: &HeaderMap, body: FrontBody) -> FrontAnswer {
+/// Returns a backend server's answer for forwarding, without its connection headers.
+pub fn forwarded(status: StatusCode, headers: &HeaderMap, body: CallerBody) -> CallerAnswer {
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
-    *answer.headers_mut() = end_to_end(headers);
+    *answer.headers_mut() = end_to_end_headers(headers);
     answer
 }
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and the
-/// length, which the server writes itself.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), and the content length,
+/// which the HTTP server writes itself.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -84,8 +84,9 @@
     "content-length",
 ];
 
-/// The headers that go beyond one connection.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+/// Returns the end-to-end headers: all but the hop-by-hop headers, including those that the
+/// `Connection` header names.
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/daemon/src/relaying/event_splitter.rs
+++ b/crates/daemon/src/relaying/event_splitter.rs
@@ -1,60 +1,60 @@
-//! Cuts the bytes of an event stream into whole events.
+//! Splits the bytes of an event stream into complete events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// One whole event as it came, with its closing blank line.
+/// One complete event, byte for byte as received, including its closing blank line.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RawEvent {
-    /// Its bytes.
+    /// The bytes of the event.
     pub bytes: Bytes,
-    /// Its id, if it has a number as one.
+    /// The id of the event, `None` if it has no id or the id is not a number.
     pub id: Option<u64>,
 }
 
-/// Collects bytes until events are whole. What a broken connection leaves of an
-/// event is never passed on.
+/// Buffers bytes until events are complete. A partial event that is left after a broken
+/// connection is never forwarded.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Adds bytes and returns the events that are whole now.
+    /// Adds bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<RawEvent> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = end_of_event(&self.buffer) {
+        while let Some(end) = event_end(&self.buffer) {
             let bytes = self.buffer.split_to(end).freeze();
-            let id = id_of(&bytes);
+            let id = event_id(&bytes);
             events.push(RawEvent { bytes, id });
         }
         events
     }
 
-    /// Bytes of an event that is not whole yet.
+    /// Number of buffered bytes of an event that is not complete yet.
     pub fn pending(&self) -> usize {
         self.buffer.len()
     }
 }
 
-/// Place after the first blank line.
-fn end_of_event(buffer: &[u8]) -> Option<usize> {
+/// Returns the position after the first blank line.
+fn event_end(buffer: &[u8]) -> Option<usize> {
     let mut line_start = 0;
-    for (place, byte) in buffer.iter().enumerate() {
+    for (position, byte) in buffer.iter().enumerate() {
         if *byte != b'\n' {
             continue;
         }
-        let line = &buffer[line_start..place];
+        let line = &buffer[line_start..position];
         if line_start > 0 && (line.is_empty() || line == b"\r") {
-            return Some(place + 1);
+            return Some(position + 1);
         }
-        line_start = place + 1;
+        line_start = position + 1;
     }
     None
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
--- a/crates/daemon/src/relaying/exchange.rs
+++ b/crates/daemon/src/relaying/exchange.rs
@@ -1,5 +1,4 @@
-//! One request of a caller, resolved, and the sending of it to one backend
-//! server.
+//! One resolved request of a caller, and the send of it to one backend server.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -35,114 +34,115 @@
 use crate::gateway::gateway_message::GatewayMessage;
 use crate::gateway::gateway_message::Placed;
 use crate::gateway::gateway_message::SendAgain;
-use crate::relaying::dialect::AnswerHead;
-use crate::relaying::dialect::CallerHead;
-use crate::relaying::dialect::ResumePoint;
-use crate::relaying::dialect::SendOrder;
-use crate::relaying::front_answer;
-use crate::relaying::front_answer::FrontAnswer;
-use crate::relaying::front_answer::end_to_end;
-use crate::relaying::patience;
+use crate::relaying::answer_timeout;
+use crate::relaying::caller_answer;
+use crate::relaying::caller_answer::CallerAnswer;
+use crate::relaying::caller_answer::end_to_end_headers;
+use crate::relaying::wire_protocol::AnswerHead;
+use crate::relaying::wire_protocol::CallerHead;
+use crate::relaying::wire_protocol::ResumePoint;
+use crate::relaying::wire_protocol::SendParameters;
 
-/// Advice while the process stops: the balancer knows another instance.
+/// Retry-After while the process stops. It is short, since the load balancer knows another
+/// instance.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A try of a repeatable request is given up after this many times its
-/// objective, so that a second one still has a use.
-const TRY_OBJECTIVES: u32 = 2;
+/// An attempt of a repeatable request is abandoned after this many times its latency objective,
+/// so that a second attempt is still useful.
+const ATTEMPT_OBJECTIVES: u32 = 2;
 
 /// A request whose route, service and workspace are known.
 pub struct Exchange {
-    /// What all tasks share.
+    /// State shared by all tasks of the gateway.
     pub app: Arc<GatewayApp>,
-    /// What its head says.
+    /// Values from the request headers.
     pub head: CallerHead,
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// Request headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Complete request body.
     pub body: Bytes,
-    /// What it consists of.
+    /// Digest of the request, by which crashes under equal requests are recognised.
     pub fingerprint: Fingerprint,
-    /// Its route.
+    /// Route of the request.
     pub route: Route,
     /// The service that runs it.
     pub service: String,
-    /// Whose it is.
+    /// Name of the caller's workspace, if any.
     pub workspace: Option<String>,
-    /// Whether callers have keys, which backend servers never see.
+    /// Whether callers have API keys, which are never sent to backend servers.
     pub hides_key: bool,
-    /// Rank of the workspace, 0 is the most urgent.
+    /// Priority rank of the workspace; 0 is the highest priority.
     pub workspace_rank: u8,
-    /// Regions whose backend servers alone may get it; `None` for all.
+    /// The only regions whose backend servers may receive the request; `None` for all regions.
     pub homes: Option<BTreeSet<RegionId>>,
-    /// Id of the last event that the caller holds of this stream, 0 for none.
+    /// Id of the last event of this stream that the caller has received, 0 for none.
     pub after_event: u64,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived: Now,
-    /// When its final answer is due.
-    pub answer_by: Now,
+    /// Deadline of the final answer.
+    pub answer_deadline: Now,
 }
 
-/// An answer whose body is still to come.
+/// An answer of a backend server whose body has not been read yet.
 pub struct BackendAnswer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Response headers as received.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Unread body.
     pub body: Incoming,
-    /// What its head says.
+    /// Values from the response headers.
     pub head: AnswerHead,
 }
 
-/// What became of one send.
-pub enum Sent {
-    /// An answer of this request.
+/// The outcome of one send.
+pub enum SendOutcome {
+    /// An answer to this request.
     Answer(Box<BackendAnswer>),
-    /// No connection: no byte was written.
+    /// The connection failed: no byte was written.
     NotConnected(String),
-    /// Nothing was tried: the availability zone of the backend server is evacuated.
-    ZoneClosed,
-    /// Nothing was tried: the backend server has said that it wants nothing of the kind.
+    /// Nothing was sent: the availability zone of the backend server is evacuated.
+    ZoneEvacuated,
+    /// Nothing was sent: a server notice of the backend server restricts sends of this kind.
     Withheld(SendStop),
-    /// The connection broke, or what came is no answer of this request.
+    /// The connection was lost, or the answer is not an answer to this request.
     Lost(String),
-    /// No answer in time.
+    /// No answer arrived before the deadline.
     TimedOut,
 }
 
-impl Sent {
-    /// The form used in metrics.
+impl SendOutcome {
+    /// Label value used in metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
-            Sent::Answer(answer) if answer.head.is_not_run => "said_not_run",
-            Sent::Answer(_) => "answered",
-            Sent::NotConnected(_) => "not_connected",
-            Sent::ZoneClosed => "zone_closed",
-            Sent::Withheld(_) => "withheld",
-            Sent::Lost(_) => "lost",
-            Sent::TimedOut => "timed_out",
+            SendOutcome::Answer(answer) if answer.head.is_not_run => "said_not_run",
+            SendOutcome::Answer(_) => "answered",
+            SendOutcome::NotConnected(_) => "not_connected",
+            SendOutcome::ZoneEvacuated => "zone_closed",
+            SendOutcome::Withheld(_) => "withheld",
+            SendOutcome::Lost(_) => "lost",
+            SendOutcome::TimedOut => "timed_out",
         }
     }
 }
 
 impl Exchange {
-    /// Asks the decisions for a backend server.
+    /// Requests a ranking of backend servers from the gateway thread.
     ///
     /// # Errors
     ///
-    /// The answer for the caller; nothing was sent.
+    /// Returns the answer for the caller if the request was refused; nothing was sent.
     pub async fn place(
         &self,
         signals: mpsc::UnboundedSender<SessionSignal>,
-    ) -> Result<Ranking, Box<FrontAnswer>> {
+    ) -> Result<Ranking, Box<CallerAnswer>> {
         let began = self.app.clock.now();
         let placed = self.app.control.ask(|reply| GatewayMessage::Place {
-            ask: self.ask(),
+            ask: self.placement_request(),
             signals,
             reply,
         });
@@ -151,16 +151,16 @@
         let refused = match placed {
             Some(Placed::Ranked(ranking)) => return Ok(ranking),
             Some(Placed::Refused(refusal)) => {
-                front_answer::not_run(refusal.retry_after, &refusal.message)
+                caller_answer::not_run(refusal.retry_after, &refusal.message)
             }
-            None => front_answer::not_run(STOPPING_RETRY_AFTER, "the instance is stopping"),
+            None => caller_answer::not_run(STOPPING_RETRY_AFTER, "the instance is stopping"),
         };
         Err(Box::new(refused))
     }
 
-    /// What the request asks of the backend servers: events that the caller
-    /// holds are read with the prompt, and made no more.
-    fn ask(&self) -> PlacementRequest {
+    /// Builds the placement request. Events that the caller has already received count as prompt
+    /// tokens and no longer as output tokens, since they are prefilled and not generated again.
+    fn placement_request(&self) -> PlacementRequest {
         let per_event = u64::from(self.app.tokens_per_event(&self.service));
         let held = self.after_event.saturating_mul(per_event);
         let held = u32::try_from(held).unwrap_or(u32::MAX);
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Where the stream begins for its caller; `None` at its first event.
-    pub fn beginning(&self) -> Option<ResumePoint> {
+    /// The point at which the stream starts for its caller; `None` for its first event.
+    pub fn start_point(&self) -> Option<ResumePoint> {
         let resumed = self.after_event > 0;
         resumed.then_some(ResumePoint {
             copy: None,
@@ -187,9 +187,9 @@
         })
     }
 
-    /// Whether a further send is allowed: it spends the budget of the service,
-    /// unless no byte of the one before was written.
-    pub async fn may_send_again(&self, replica: &str, before: SendResult) -> bool {
+    /// Whether another send is allowed. It consumes the retry budget of the service, unless no
+    /// byte of the previous send was written.
+    pub async fn may_retry(&self, replica: &str, before: SendResult) -> bool {
         let control = &self.app.control;
         control.tell(GatewayMessage::Moved {
             request: self.head.request.clone(),
@@ -204,77 +204,79 @@
         let cause = match asked.await {
             Some(SendAgain::Granted) => return true,
             Some(SendAgain::BudgetSpent) => "the retry budget is spent",
-            Some(SendAgain::Quarantined) => "backend servers end under requests like it",
+            Some(SendAgain::Quarantined) => "backend servers crash under requests like it",
             None => "the instance is stopping",
         };
-        info!(self.app.log, "no further try";
+        info!(self.app.log, "request is not retried";
             "request" => &self.head.request, "cause" => cause,
             "content" => self.fingerprint.to_string(),
             "service" => &self.service);
         false
     }
 
-    /// When a try that may be followed by another is given up.
-    pub fn try_until(&self, is_repeatable: bool) -> Now {
-        let until = self.app.clock.now() + self.route.objective * TRY_OBJECTIVES;
+    /// Returns the deadline of one attempt: earlier than that of the answer if another attempt
+    /// may follow.
+    pub fn attempt_deadline(&self, is_repeatable: bool) -> Now {
+        let until = self.app.clock.now() + self.route.objective * ATTEMPT_OBJECTIVES;
         match is_repeatable && self.route.max_attempts > 1 {
-            true => until.min(self.answer_by),
-            false => self.answer_by,
+            true => until.min(self.answer_deadline),
+            false => self.answer_deadline,
         }
     }
 
-    /// Time left for the final answer.
+    /// Time left until the deadline of the final answer.
     pub fn time_left(&self) -> Duration {
-        self.answer_by.saturating_sub(self.app.clock.now())
+        self.answer_deadline.saturating_sub(self.app.clock.now())
     }
 
-    /// Sends the request to a replica on a connection of its own, so that
-    /// nothing that belongs to another request can arrive on it.
+    /// Sends the request to a replica on a new connection, so that no data of another request
+    /// can arrive on it.
     pub async fn send(
         &self,
         replica: &Replica,
         backup: Option<&Replica>,
         resume: Option<ResumePoint>,
         by: Now,
-    ) -> Sent {
+    ) -> SendOutcome {
         if self.app.is_closed(&replica.availability_zone) {
-            return Sent::ZoneClosed;
+            return SendOutcome::ZoneEvacuated;
         }
-        // A request placed before the server spoke, or sent on by a process that stood still.
+        // The request may have been placed before the server notice arrived, or this process may
+        // have been suspended since the placement.
         let kind = SendKind::of(resume.as_ref());
         let stop = self.app.notices.stop(replica, kind, &self.head.request);
         if let Some(stop) = stop.await {
             self.log_withheld(replica, stop);
-            return Sent::Withheld(stop);
+            return SendOutcome::Withheld(stop);
         }
-        let order = SendOrder {
+        let parameters = SendParameters {
             request: self.head.request.clone(),
             replica: replica.id.clone(),
             time_left: self.time_left(),
             workspace: self.workspace.clone(),
             hides_key: self.hides_key,
-            urgency: Some(engine_priority(self.workspace_rank)),
+            priority: Some(engine_priority(self.workspace_rank)),
             backup: backup.map(|replica| replica.address),
             resume,
         };
-        let request = match self.request_to(replica, &order) {
+        let request = match self.build_request(replica, &parameters) {
             Ok(request) => request,
-            Err(error) => return Sent::NotConnected(error.to_string()),
+            Err(error) => return SendOutcome::NotConnected(error.to_string()),
         };
         let sent_at = self.app.clock.now();
         let by = self.app.clock.instant(by);
-        match patience::until(by, self.app.client.send(request)).await {
-            None => Sent::TimedOut,
-            Some(Err(HttpClientError::Connect { cause, .. })) => Sent::NotConnected(cause),
-            Some(Err(error)) => Sent::Lost(error.to_string()),
-            Some(Ok(response)) => self.checked(replica, response, sent_at),
+        match answer_timeout::until(by, self.app.client.send(request)).await {
+            None => SendOutcome::TimedOut,
+            Some(Err(HttpClientError::Connect { cause, .. })) => SendOutcome::NotConnected(cause),
+            Some(Err(error)) => SendOutcome::Lost(error.to_string()),
+            Some(Ok(response)) => self.validate_answer(replica, response, sent_at),
         }
     }
 
-    fn request_to(
+    fn build_request(
         &self,
         replica: &Replica,
-        order: &SendOrder,
+        parameters: &SendParameters,
     ) -> Result<Request<Full<Bytes>>, http::Error> {
         let path = self.uri.path_and_query().map_or("/", |path| path.as_str());
         let uri = format!("http://{}{path}", replica.address);
@@ -282,22 +284,22 @@
             .method(self.method.clone())
             .uri(uri)
             .body(Full::new(self.body.clone()))?;
-        let headers = end_to_end(&self.headers);
-        *request.headers_mut() = self.app.dialect.write_order(&headers, order);
+        let headers = end_to_end_headers(&self.headers);
+        *request.headers_mut() = self.app.wire_protocol.write_headers(&headers, parameters);
         Ok(request)
     }
 
     fn log_withheld(&self, replica: &Replica, stop: SendStop) {
-        info!(self.app.log, "not sent: the backend server wants nothing of the kind";
+        info!(self.app.log, "not sent: a server notice restricts sends to the backend server";
             "request" => &self.head.request,
             "backend_server" => &replica.id,
             "cause" => stop.as_str());
     }
 
-    /// When the caller of a request that nobody took should come back: `otherwise` while
-    /// one of the backend servers takes requests.
+    /// Returns the Retry-After for a request that no backend server accepted: `otherwise` while
+    /// at least one of the backend servers accepts requests.
     pub async fn caller_retry_after(&self, otherwise: Duration) -> Duration {
-        let ask = self.ask();
+        let ask = self.placement_request();
         let control = &self.app.control;
         let asked = control.ask(|reply| GatewayMessage::ReturnAfter {
             ask,
@@ -307,33 +309,42 @@
         asked.await.unwrap_or(otherwise)
     }
 
-    fn checked(&self, replica: &Replica, response: http::Response<Incoming>, sent_at: Now) -> Sent {
+    fn validate_answer(
+        &self,
+        replica: &Replica,
+        response: http::Response<Incoming>,
+        sent_at: Now,
+    ) -> SendOutcome {
         let (parts, body) = response.into_parts();
-        let head = self.app.dialect.read_answer(parts.status, &parts.headers);
+        let head = self
+            .app
+            .wire_protocol
+            .read_answer_head(parts.status, &parts.headers);
         let is_ours = match &head.request {
             Some(request) => *request == self.head.request,
             None => head.is_not_run,
         };
-        // Also when the answer is no answer of this request: the connection is its own.
-        let heard = ObservedNotice {
+        // The notice applies even if the answer is not for this request: the connection is
+        // dedicated, so the notice comes from this server.
+        let observed = ObservedNotice {
             notice: head.notice,
             sent_at,
             reports_limits: is_ours && head.is_stamped && parts.status.is_success(),
         };
         let notices = &self.app.notices;
-        notices.heard(replica, heard, &self.head.request);
+        notices.heard(replica, observed, &self.head.request);
         if parts.status == StatusCode::MISDIRECTED_REQUEST {
             self.app.control.tell(GatewayMessage::AnotherThere {
                 replica: replica.server_life(),
             });
         }
         if !is_ours {
-            return Sent::Lost("the answer bears another request's id".to_owned());
+            return SendOutcome::Lost("the answer has the id of another request".to_owned());
         }
         if parts.status.is_success() && !head.is_stamped {
-            return Sent::Lost("the answer bears no mark of a backend server".to_owned());
+            return SendOutcome::Lost("the answer has no stamp of a backend server".to_owned());
         }
-        Sent::Answer(Box::new(BackendAnswer {
+        SendOutcome::Answer(Box::new(BackendAnswer {
             status: parts.status,
             headers: parts.headers,
             body,
@@ -343,16 +354,16 @@
 }
 
 impl BackendAnswer {
-    /// Whether its status promises that the request was not run although the
-    /// backend server did not say so: such an answer can't be passed on.
-    pub fn is_false_promise(&self) -> bool {
+    /// Whether the status implies that the request was not run although the backend server did
+    /// not state so. Such an answer must not be forwarded.
+    pub fn is_ambiguous_refusal(&self) -> bool {
         let promises = matches!(self.status.as_u16(), 408 | 421 | 429 | 503);
         promises && !self.head.is_not_run
     }
 }
 
-/// Tells the decisions of the end of a request, also when its task is dropped
-/// because the caller left.
+/// Reports the end of a request to the gateway thread when dropped, also when its task is
+/// dropped because the caller disconnected.
 pub struct RunGuard {
     app: Arc<GatewayApp>,
     request: String,
@@ -360,7 +371,8 @@
 }
 
 impl RunGuard {
-    /// Guards a request that was placed.
+    /// Guards a placed request; its end is `Withdrawn` until [`set_end`](Self::set_end) is
+    /// called.
     pub fn new(app: Arc<GatewayApp>, request: String) -> Self {
         RunGuard {
             app,
@@ -369,8 +381,8 @@
         }
     }
 
-    /// Notes how it ends.
-    pub fn ends(&mut self, end: RunEnd) {
+    /// Sets the end to report.
+    pub fn set_end(&mut self, end: RunEnd) {
         self.end = end;
     }
 }
--- a/crates/daemon/src/relaying/gateway_front.rs
+++ b/crates/daemon/src/relaying/http_front_end.rs
@@ -1,5 +1,5 @@
-//! Answers callers: finds the route, the workspace and the service, reads the
-//! body, and hands the request on.
+//! HTTP front end: resolves the route, workspace and service of a request, reads its body and
+//! relays it.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,27 +25,27 @@
 use slog::info;
 
 use crate::gateway::GatewayApp;
-use crate::relaying::dialect::LastEvent;
+use crate::relaying::buffered_call;
+use crate::relaying::caller_answer;
+use crate::relaying::caller_answer::CallerAnswer;
 use crate::relaying::exchange::Exchange;
-use crate::relaying::front_answer;
-use crate::relaying::front_answer::FrontAnswer;
-use crate::relaying::plain_call;
 use crate::relaying::stream_call;
+use crate::relaying::wire_protocol::LastEvent;
 
-/// Advice while no configuration is known: peers and the platform are asked
-/// again all the while.
+/// Retry-After while no configuration is known. Peers and the platform are queried repeatedly in
+/// the meantime.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Answers one request.
-pub async fn answer(app: Arc<GatewayApp>, request: Request<Incoming>) -> FrontAnswer {
+/// Answers one request of a caller.
+pub async fn answer(app: Arc<GatewayApp>, request: Request<Incoming>) -> CallerAnswer {
     let Some(table) = app.table() else {
         let message = "no configuration is in force here yet";
-        return front_answer::not_run(NOT_READY_RETRY_AFTER, message);
+        return caller_answer::not_run(NOT_READY_RETRY_AFTER, message);
     };
     match resolve(&app, &table, request).await {
         Ok(exchange) => match exchange.route.class {
             RequestClass::Stream => stream_call::run(exchange).await,
-            RequestClass::Repeatable | RequestClass::Once => plain_call::run(&exchange).await,
+            RequestClass::Repeatable | RequestClass::Once => buffered_call::run(&exchange).await,
         },
         Err(answer) => *answer,
     }
@@ -55,7 +55,7 @@
     app: &Arc<GatewayApp>,
     table: &RouteTable,
     request: Request<Incoming>,
-) -> Result<Exchange, Box<FrontAnswer>> {
+) -> Result<Exchange, Box<CallerAnswer>> {
     let arrived = app.clock.now();
     let (parts, body) = request.into_parts();
     let limits = &table.config().limits;
@@ -64,31 +64,34 @@
         return Err(refuse(status, "the headers are too large"));
     }
     let head = app
-        .dialect
-        .read_caller(&parts.headers)
+        .wire_protocol
+        .read_caller_head(&parts.headers)
         .map_err(|fault| refuse(StatusCode::BAD_REQUEST, &fault.to_string()))?;
     let host = parts.headers.get(header::HOST);
     let host = host.and_then(|host| host.to_str().ok()).unwrap_or("");
     let route = table
         .route(host, parts.uri.path())
-        .map_err(|fault| refused(app, table, &head.request, fault))?;
+        .map_err(|fault| refuse_unroutable(app, table, &head.request, fault))?;
     let workspace = table
         .workspace(route, head.key.as_deref())
-        .map_err(|fault| refused(app, table, &head.request, fault))?;
+        .map_err(|fault| refuse_unroutable(app, table, &head.request, fault))?;
     let after_event = match head.last_event {
         Some(LastEvent::Id(id)) if route.can_resume => id,
         Some(LastEvent::Unreadable) if route.can_resume => {
             let message = "the last event's id can't be read; it is a whole number";
             return Err(refuse(StatusCode::BAD_REQUEST, message));
         }
-        // Elsewhere the caller gets the whole stream of a new run.
+        // On other routes the caller gets the whole stream of a new run.
         _ => 0,
     };
     let service = table.service(route, &head.request).unwrap_or_default();
-    let patience = head.patience.unwrap_or(route.timeout).min(route.timeout);
-    let answer_by = arrived + patience;
+    let answer_timeout = head
+        .answer_timeout
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
+    let answer_deadline = arrived + answer_timeout;
     let read = read_body(body, limits.max_body_bytes);
-    let body = tokio::time::timeout_at(app.clock.instant(answer_by), read)
+    let body = tokio::time::timeout_at(app.clock.instant(answer_deadline), read)
         .await
         .unwrap_or_else(|_| {
             let message = "the body did not arrive in time";
@@ -113,17 +116,21 @@
         workspace: workspace_name,
         hides_key: table.config().workspaces.is_some(),
         workspace_rank: workspace.map_or(0, |workspace| workspace.rank),
-        homes: homes_of(route, workspace),
+        homes: allowed_home_regions(route, workspace),
         route: route.clone(),
         head,
         after_event,
         arrived,
-        answer_by,
+        answer_deadline,
     })
 }
 
-/// Both bind where both have homes.
-fn homes_of(route: &Route, workspace: Option<&GatewayWorkspace>) -> Option<BTreeSet<RegionId>> {
+/// Returns the home regions that the request is restricted to, `None` for no restriction. The
+/// restrictions of the route and of the workspace apply together.
+fn allowed_home_regions(
+    route: &Route,
+    workspace: Option<&GatewayWorkspace>,
+) -> Option<BTreeSet<RegionId>> {
     let workspace = workspace.and_then(|workspace| workspace.homes.as_ref());
     match (&route.homes, workspace) {
         (Some(route), Some(workspace)) => Some(route & workspace),
@@ -131,13 +138,13 @@
     }
 }
 
-fn refused(
+fn refuse_unroutable(
     app: &GatewayApp,
     table: &RouteTable,
     request: &str,
     fault: RouteFault,
-) -> Box<FrontAnswer> {
-    info!(app.log, "request leads nowhere";
+) -> Box<CallerAnswer> {
+    info!(app.log, "request has no route or an unknown key";
         "request" => request,
         "fault" => format!("{fault:?}"),
         "config_version" => table.version());
@@ -147,11 +154,11 @@
     }
 }
 
-fn refuse(status: StatusCode, message: &str) -> Box<FrontAnswer> {
-    Box::new(front_answer::own(status, message))
+fn refuse(status: StatusCode, message: &str) -> Box<CallerAnswer> {
+    Box::new(caller_answer::from_gateway(status, message))
 }
 
-async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Box<FrontAnswer>> {
+async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Box<CallerAnswer>> {
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
@@ -166,7 +173,7 @@
 }
 
 fn header_bytes(headers: &HeaderMap) -> usize {
-    // Each line has a colon, a blank and a line end besides.
+    // Each header line also has a colon, a space and CR LF: 4 bytes.
     let lines = headers.iter();
     lines
         .map(|(name, value)| name.as_str().len() + value.len() + 4)
--- a/crates/daemon/src/relaying/stream_call.rs
+++ b/crates/daemon/src/relaying/stream_call.rs
@@ -1,5 +1,5 @@
-//! Requests that are answered by an event stream: the start of one, up to the
-//! head of its answer.
+//! Requests that are answered by an event stream: the start of the stream, up to the headers of
+//! its answer.
 
 use std::time::Duration;
 
@@ -17,27 +17,27 @@
 
 use crate::engines::engine_watch::look_at_broken;
 use crate::gateway::gateway_message::GatewayMessage;
+use crate::relaying::buffered_call;
+use crate::relaying::caller_answer;
+use crate::relaying::caller_answer::CallerAnswer;
 use crate::relaying::exchange::BackendAnswer;
 use crate::relaying::exchange::Exchange;
 use crate::relaying::exchange::RunGuard;
-use crate::relaying::exchange::Sent;
-use crate::relaying::front_answer;
-use crate::relaying::front_answer::FrontAnswer;
-use crate::relaying::plain_call;
+use crate::relaying::exchange::SendOutcome;
 use crate::relaying::stream_relay::StreamRelay;
 
-/// Advice when an engine refused: about the time in which a session ends.
+/// Retry-After when an engine refused: approximately the time until a session ends.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// How the start of a stream went.
-enum Start {
+/// The result of starting a stream.
+enum StartResult {
     Answered(Replica, Box<BackendAnswer>),
     NotRun,
     MayHaveRun(&'static str),
 }
 
-/// Starts a stream and answers its caller.
-pub async fn run(exchange: Exchange) -> FrontAnswer {
+/// Starts a stream and returns the answer for its caller.
+pub async fn run(exchange: Exchange) -> CallerAnswer {
     let app = exchange.app.clone();
     let (signals, signals_out) = mpsc::unbounded_channel();
     let ranking = match exchange.place(signals).await {
@@ -47,41 +47,41 @@
     let mut guard = RunGuard::new(app.clone(), exchange.head.request.clone());
     let start = start(&exchange, &ranking).await;
     match start {
-        Start::Answered(replica, answer) if answer.status.is_success() => {
-            relayed(exchange, guard, replica, *answer, signals_out)
+        StartResult::Answered(replica, answer) if answer.status.is_success() => {
+            spawn_relay(exchange, guard, replica, *answer, signals_out)
         }
-        Start::Answered(_, answer) => {
-            guard.ends(RunEnd::Refused);
-            log_end(&exchange, "refused by its engine", Some(answer.status));
-            plain_call::pass_on_whole(&exchange, *answer).await
+        StartResult::Answered(_, answer) => {
+            guard.set_end(RunEnd::Refused);
+            log_failed_start(&exchange, "refused by the engine", Some(answer.status));
+            buffered_call::forward_buffered(&exchange, *answer).await
         }
-        Start::NotRun => {
-            guard.ends(RunEnd::Refused);
-            log_end(&exchange, "no engine took it", None);
+        StartResult::NotRun => {
+            guard.set_end(RunEnd::Refused);
+            log_failed_start(&exchange, "no engine accepted the request", None);
             let retry_after = exchange.caller_retry_after(REFUSED_RETRY_AFTER).await;
-            front_answer::not_run(retry_after, "no engine took the request")
+            caller_answer::not_run(retry_after, "no engine took the request")
         }
-        Start::MayHaveRun(cause) => {
-            guard.ends(RunEnd::Failed);
-            log_end(&exchange, cause, None);
+        StartResult::MayHaveRun(cause) => {
+            guard.set_end(RunEnd::Failed);
+            log_failed_start(&exchange, cause, None);
             let message = "the engine gave no answer; the request may have run";
-            front_answer::own(StatusCode::BAD_GATEWAY, message)
+            caller_answer::from_gateway(StatusCode::BAD_GATEWAY, message)
         }
     }
 }
 
-async fn start(exchange: &Exchange, ranking: &Ranking) -> Start {
+async fn start(exchange: &Exchange, ranking: &Ranking) -> StartResult {
     let app = &exchange.app;
     let names = ranking.replicas.iter().map(|r| r.id.clone()).collect();
     let may_repeat = exchange.route.can_resume;
-    let mut decisions = CallRun::new(may_repeat, names, exchange.answer_by)
+    let mut decisions = CallRun::new(may_repeat, names, exchange.answer_deadline)
         .with_tries(exchange.route.max_attempts.max(1));
     let mut cause = "";
     let mut previous = None;
     loop {
         let mut step = decisions.next(app.clock.now());
         if let (CallStep::Send(name), Some(result)) = (&step, previous)
-            && !exchange.may_send_again(name, result).await
+            && !exchange.may_retry(name, result).await
         {
             step = decisions.give_up();
         }
@@ -90,8 +90,8 @@
             CallStep::End {
                 outcome: Outcome::NotRun,
                 ..
-            } => return Start::NotRun,
-            CallStep::End { .. } => return Start::MayHaveRun(cause),
+            } => return StartResult::NotRun,
+            CallStep::End { .. } => return StartResult::MayHaveRun(cause),
         };
         let Some(replica) = ranking.replicas.iter().find(|r| r.id == name) else {
             continue;
@@ -105,16 +105,16 @@
             .send(
                 replica,
                 backup,
-                exchange.beginning(),
-                exchange.try_until(may_repeat),
+                exchange.start_point(),
+                exchange.attempt_deadline(may_repeat),
             )
             .await;
         app.metrics.tried(sent.as_str());
         let result = match sent {
-            Sent::Answer(answer) if answer.head.is_not_run => SendResult::SaidNotRun,
-            Sent::Answer(answer) => return Start::Answered(replica.clone(), answer),
-            Sent::NotConnected(why) => {
-                info!(app.log, "engine can't be connected to";
+            SendOutcome::Answer(answer) if answer.head.is_not_run => SendResult::SaidNotRun,
+            SendOutcome::Answer(answer) => return StartResult::Answered(replica.clone(), answer),
+            SendOutcome::NotConnected(why) => {
+                info!(app.log, "connection to the engine failed";
                     "request" => &exchange.head.request,
                     "backend_server" => &replica.id, "cause" => why);
                 app.control.tell(GatewayMessage::NotConnected {
@@ -122,23 +122,23 @@
                 });
                 SendResult::NotConnected
             }
-            Sent::ZoneClosed => {
-                info!(app.log, "not sent: the zone of the engine is evacuated";
+            SendOutcome::ZoneEvacuated => {
+                info!(app.log, "not sent: the availability zone of the engine is evacuated";
                     "request" => &exchange.head.request, "backend_server" => &replica.id);
                 SendResult::NotConnected
             }
-            Sent::Withheld(_) => SendResult::NotConnected,
-            Sent::Lost(why) => {
-                info!(app.log, "engine broke off before its answer";
+            SendOutcome::Withheld(_) => SendResult::NotConnected,
+            SendOutcome::Lost(why) => {
+                info!(app.log, "connection to the engine lost before its answer";
                     "request" => &exchange.head.request,
                     "content" => exchange.fingerprint.to_string(),
                     "backend_server" => &replica.id, "cause" => why);
                 look_at_broken(app, &exchange.head.request, replica).await;
-                cause = "its engine broke off before the answer";
+                cause = "connection to the engine lost before its answer";
                 SendResult::Lost
             }
-            Sent::TimedOut => {
-                cause = "its engine was silent for too long";
+            SendOutcome::TimedOut => {
+                cause = "the engine did not answer in time";
                 SendResult::Lost
             }
         };
@@ -147,20 +147,20 @@
     }
 }
 
-fn relayed(
+fn spawn_relay(
     exchange: Exchange,
     guard: RunGuard,
     replica: Replica,
     answer: BackendAnswer,
     signals: mpsc::UnboundedReceiver<SessionSignal>,
-) -> FrontAnswer {
+) -> CallerAnswer {
     let (status, headers) = (answer.status, answer.headers.clone());
     let (relay, pieces) = StreamRelay::new(exchange, guard, replica, answer.body, signals);
     tokio::spawn(relay.run());
-    front_answer::passed_on(status, &headers, front_answer::streamed(pieces))
+    caller_answer::forwarded(status, &headers, caller_answer::stream_body(pieces))
 }
 
-fn log_end(exchange: &Exchange, end: &str, status: Option<StatusCode>) {
+fn log_failed_start(exchange: &Exchange, end: &str, status: Option<StatusCode>) {
     let app = &exchange.app;
     app.metrics
         .stream_ended("not_begun", app.clock.now() - exchange.arrived);
--- a/crates/daemon/src/relaying/stream_relay.rs
+++ b/crates/daemon/src/relaying/stream_relay.rs
@@ -1,5 +1,5 @@
-//! Relays one event stream, and carries it to another engine when the one that
-//! runs it leaves, breaks off or falls silent.
+//! Relays one event stream, and fails it over to another engine when its engine drains, loses the
+//! connection or falls silent.
 
 use std::time::Duration;
 
@@ -27,93 +27,97 @@
 use crate::engines::session_mover::MoveError;
 use crate::engines::session_mover::MoveOrder;
 use crate::gateway::gateway_message::GatewayMessage;
+use crate::relaying::caller_answer::StreamBroken;
 use crate::relaying::event_splitter::EventSplitter;
 use crate::relaying::exchange::Exchange;
 use crate::relaying::exchange::RunGuard;
-use crate::relaying::front_answer::StreamBroken;
 
-mod carrying;
-mod resuming;
+mod failover;
+mod resume;
 
-/// Pieces that wait for a caller that reads slowly; the engine waits beyond.
-const QUEUED_PIECES: usize = 32;
+/// Frames buffered for a slow caller; beyond that, back pressure reaches the engine.
+const CALLER_QUEUE_LEN: usize = 32;
 
-/// Events between two progress messages to the decisions.
+/// Events between two progress messages to the gateway thread.
 const PROGRESS_EVERY: u32 = 16;
 
-/// Silence after which an engine is looked at: several times the pause in
-/// which an answer is still in time.
-const SILENCE: Duration = Duration::from_millis(600);
+/// Silence after which an engine is checked for reachability: several times the longest gap
+/// between events that still counts as in time.
+const SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(600);
 
 type Piece = Result<Frame<Bytes>, StreamBroken>;
 
-/// What a look at the stream led to.
+/// The result of one step of the relay loop.
 enum Step {
     Continue,
-    Whole,
+    Completed,
     Broken(&'static str),
     Unreachable,
     Moved(Result<String, MoveError>),
-    CallerGone,
-    TimeOver,
+    CallerDisconnected,
+    DeadlineExceeded,
     Withdrawn,
 }
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum End {
-    Whole,
+    Completed,
     Lost,
-    CallerGone,
-    TimeOver,
+    CallerDisconnected,
+    DeadlineExceeded,
     Withdrawn,
 }
 
 impl End {
     fn as_str(self) -> &'static str {
         match self {
-            End::Whole => "whole",
+            End::Completed => "whole",
             End::Lost => "lost",
-            End::CallerGone => "caller_gone",
-            End::TimeOver => "time_over",
+            End::CallerDisconnected => "caller_gone",
+            End::DeadlineExceeded => "time_over",
             End::Withdrawn => "withdrawn",
         }
     }
 }
 
-/// One event stream under way.
+/// A running relay of one event stream.
 pub struct StreamRelay {
     exchange: Exchange,
     guard: RunGuard,
     replica: Replica,
-    /// `None` while the engine that ran it is given up and another not found.
+    /// `None` while the previous engine is abandoned and no other has been found.
     body: Option<Incoming>,
     signals: mpsc::UnboundedReceiver<SessionSignal>,
     to_caller: mpsc::Sender<Piece>,
     splitter: EventSplitter,
     order: EventOrder,
     events: u32,
-    /// Events that came from this engine.
-    events_here: u32,
+    /// Events received from the current engine.
+    engine_events: u32,
     tokens_per_event: u32,
-    heard_at: Now,
+    /// Start of the current silence: the last delivery, check of the engine or resumption.
+    silent_since: Now,
     last_event_at: Now,
     /// Time until the first event, `None` before it.
-    first_event_took: Option<Duration>,
+    time_to_first_event: Option<Duration>,
     longest_gap: Duration,
-    carried: u32,
-    /// Engines that began to run it, not from a copy.
-    begun: u32,
+    /// Number of times that the stream was resumed, at any engine.
+    resumptions: u32,
+    /// Number of runs placed without a copy: the first one and restarts.
+    fresh_runs: u32,
     moving: Option<SessionMove>,
+    /// Engines that did not accept the session when it was moved; cleared when it resumes at
+    /// another engine.
     tried: Vec<BackendId>,
-    /// Whether the engine is said to have started anew since it was sent there.
-    engine_begun_anew: bool,
-    /// Whether it was said that the engine is waited for.
-    waits_for_engine: bool,
+    /// Whether the engine is reported to have restarted since the session was sent there.
+    engine_restarted: bool,
+    /// Whether the stream is waiting for an unreachable engine, which is logged once.
+    is_waiting_for_engine: bool,
 }
 
 impl StreamRelay {
-    /// A relay of a stream that has begun, and what its caller gets.
+    /// Returns a relay of a started stream, and the frames for its caller.
     pub fn new(
         exchange: Exchange,
         guard: RunGuard,
@@ -121,11 +125,11 @@
         body: Incoming,
         signals: mpsc::UnboundedReceiver<SessionSignal>,
     ) -> (Self, impl Stream<Item = Piece> + Send + 'static) {
-        let (to_caller, pieces) = mpsc::channel(QUEUED_PIECES);
+        let (to_caller, pieces) = mpsc::channel(CALLER_QUEUE_LEN);
         let relay = StreamRelay {
             tokens_per_event: exchange.app.tokens_per_event(&exchange.service),
             order: EventOrder::after(exchange.after_event),
-            heard_at: exchange.app.clock.now(),
+            silent_since: exchange.app.clock.now(),
             exchange,
             guard,
             replica,
@@ -134,31 +138,31 @@
             to_caller,
             splitter: EventSplitter::default(),
             events: 0,
-            events_here: 0,
+            engine_events: 0,
             last_event_at: Now::ZERO,
-            first_event_took: None,
+            time_to_first_event: None,
             longest_gap: Duration::ZERO,
-            carried: 0,
-            begun: 1,
+            resumptions: 0,
+            fresh_runs: 1,
             moving: None,
             tried: Vec::new(),
-            engine_begun_anew: false,
-            waits_for_engine: false,
+            engine_restarted: false,
+            is_waiting_for_engine: false,
         };
         (relay, ReceiverStream::new(pieces))
     }
 
-    /// Relays until the end.
+    /// Relays until the stream ends.
     pub async fn run(mut self) {
         loop {
             let end = match self.step().await {
                 Step::Continue => None,
-                Step::Whole => Some(End::Whole),
-                Step::Broken(cause) => self.broken(cause).await,
-                Step::Unreachable => self.unreachable().await,
-                Step::Moved(outcome) => self.moved(outcome).await,
-                Step::CallerGone => Some(End::CallerGone),
-                Step::TimeOver => Some(End::TimeOver),
+                Step::Completed => Some(End::Completed),
+                Step::Broken(cause) => self.handle_broken_stream(cause).await,
+                Step::Unreachable => self.handle_unreachable().await,
+                Step::Moved(outcome) => self.handle_move_result(outcome).await,
+                Step::CallerDisconnected => Some(End::CallerDisconnected),
+                Step::DeadlineExceeded => Some(End::DeadlineExceeded),
                 Step::Withdrawn => Some(End::Withdrawn),
             };
             if let Some(end) = end {
@@ -169,22 +173,22 @@
 
     async fn step(&mut self) -> Step {
         let clock = self.exchange.app.clock;
-        let time_over = clock.instant(self.exchange.answer_by);
-        let silent_at = clock.instant(self.heard_at + SILENCE);
+        let time_over = clock.instant(self.exchange.answer_deadline);
+        let silent_at = clock.instant(self.silent_since + SILENCE_BEFORE_PROBE);
         let frame = tokio::select! {
             biased;
-            () = self.to_caller.closed() => return Step::CallerGone,
-            () = sleep_until(time_over) => return Step::TimeOver,
-            moved = finished(&mut self.moving) => return Step::Moved(moved),
-            Some(signal) = self.signals.recv() => return self.signalled(signal),
+            () = self.to_caller.closed() => return Step::CallerDisconnected,
+            () = sleep_until(time_over) => return Step::DeadlineExceeded,
+            moved = move_finished(&mut self.moving) => return Step::Moved(moved),
+            Some(signal) = self.signals.recv() => return self.handle_signal(signal),
             frame = next_frame(&mut self.body) => frame,
-            () = sleep_until(silent_at) => return self.look_at_engine().await,
+            () = sleep_until(silent_at) => return self.check_engine().await,
         };
         match frame {
             Some(Ok(frame)) => self.take(frame).await,
-            Some(Err(_)) => Step::Broken("the connection broke"),
-            None if self.splitter.pending() > 0 => Step::Broken("the last event is not whole"),
-            None => Step::Whole,
+            Some(Err(_)) => Step::Broken("the connection was lost"),
+            None if self.splitter.pending() > 0 => Step::Broken("the last event is incomplete"),
+            None => Step::Completed,
         }
     }
 
@@ -194,12 +198,12 @@
         };
         let now = self.exchange.app.clock.now();
         let mut piece = BytesMut::new();
-        let had = self.events;
+        let events_before = self.events;
         for event in self.splitter.push(&data) {
             match self.order.next(event.id) {
                 EventVerdict::Deliver => {
                     self.events += 1;
-                    self.events_here += 1;
+                    self.engine_events += 1;
                     piece.extend_from_slice(&event.bytes);
                 }
                 EventVerdict::Repeated => {}
@@ -209,27 +213,31 @@
         if piece.is_empty() {
             return Step::Continue;
         }
-        self.measure(now, had);
-        if had == 0 || had / PROGRESS_EVERY != self.events / PROGRESS_EVERY {
-            self.tell_progress();
+        self.record_delivery(now, events_before);
+        if events_before == 0 || events_before / PROGRESS_EVERY != self.events / PROGRESS_EVERY {
+            self.report_progress();
         }
-        let time_over = self.exchange.app.clock.instant(self.exchange.answer_by);
+        let time_over = self
+            .exchange
+            .app
+            .clock
+            .instant(self.exchange.answer_deadline);
         let sent = self.to_caller.send(Ok(Frame::data(piece.freeze())));
         match tokio::time::timeout_at(time_over, sent).await {
             Ok(Ok(())) => Step::Continue,
-            Ok(Err(_)) => Step::CallerGone,
-            Err(_) => Step::TimeOver,
+            Ok(Err(_)) => Step::CallerDisconnected,
+            Err(_) => Step::DeadlineExceeded,
         }
     }
 
-    fn measure(&mut self, now: Now, had: u32) {
-        self.heard_at = now;
-        self.waits_for_engine = false;
-        // Whoever goes on with it has not forgotten it: the list came late.
-        self.engine_begun_anew = false;
-        if had == 0 {
+    fn record_delivery(&mut self, now: Now, events_before: u32) {
+        self.silent_since = now;
+        self.is_waiting_for_engine = false;
+        // An engine that continues the session has not lost it: the replica list was late.
+        self.engine_restarted = false;
+        if events_before == 0 {
             let took = now - self.exchange.arrived;
-            self.first_event_took = Some(took);
+            self.time_to_first_event = Some(took);
             self.exchange.app.metrics.first_event(took);
         } else {
             self.longest_gap = self.longest_gap.max(now - self.last_event_at);
@@ -237,19 +245,19 @@
         self.last_event_at = now;
     }
 
-    fn tell_progress(&self) {
+    fn report_progress(&self) {
         self.exchange.app.control.tell(GatewayMessage::Progress {
             request: self.exchange.head.request.clone(),
             generated: self.events * self.tokens_per_event,
         });
     }
 
-    /// A silent engine may be gone, or may have displaced the session and will
-    /// go on with it.
-    async fn look_at_engine(&mut self) -> Step {
-        self.heard_at = self.exchange.app.clock.now();
-        if self.engine_begun_anew {
-            return Step::Broken("its engine has started anew");
+    /// Checks whether a silent engine is reachable. It may be gone, or it may have preempted the
+    /// session and will continue it later.
+    async fn check_engine(&mut self) -> Step {
+        self.silent_since = self.exchange.app.clock.now();
+        if self.engine_restarted {
+            return Step::Broken("the engine has restarted");
         }
         match reach_of(self.replica.address).await {
             Reach::Accepts => Step::Continue,
@@ -257,10 +265,10 @@
         }
     }
 
-    fn signalled(&mut self, signal: SessionSignal) -> Step {
+    fn handle_signal(&mut self, signal: SessionSignal) -> Step {
         match signal {
             SessionSignal::MoveTo(target) if self.moving.is_none() => self.move_to(target),
-            SessionSignal::EngineRestarted => self.engine_begun_anew = true,
+            SessionSignal::EngineRestarted => self.engine_restarted = true,
             SessionSignal::Withdraw if self.events == 0 => return Step::Withdrawn,
             SessionSignal::MoveTo(_) | SessionSignal::Withdraw => {}
         }
@@ -281,10 +289,10 @@
     async fn end(mut self, end: End) {
         let app = self.exchange.app.clone();
         app.metrics.stream_ended(end.as_str(), self.longest_gap);
-        self.guard.ends(match end {
-            End::Whole => RunEnd::Answered,
+        self.guard.set_end(match end {
+            End::Completed => RunEnd::Answered,
             End::Lost => RunEnd::Failed,
-            End::CallerGone | End::TimeOver | End::Withdrawn => RunEnd::Withdrawn,
+            End::CallerDisconnected | End::DeadlineExceeded | End::Withdrawn => RunEnd::Withdrawn,
         });
         info!(app.log, "stream ended";
             "request" => &self.exchange.head.request,
@@ -292,11 +300,11 @@
             "end" => end.as_str(),
             "backend_server" => &self.replica.id,
             "events" => self.events,
-            "carried" => self.carried,
-            "first_event_ms" => self.first_event_took.map(|took| took.as_millis() as u64),
+            "carried" => self.resumptions,
+            "first_event_ms" => self.time_to_first_event.map(|took| took.as_millis() as u64),
             "longest_gap_ms" => self.longest_gap.as_millis() as u64,
             "took_ms" => (app.clock.now() - self.exchange.arrived).as_millis() as u64);
-        // The engine is free at once, also when the caller reads nothing more.
+        // Frees the engine at once, also when the caller no longer reads.
         let StreamRelay {
             to_caller,
             body,
@@ -305,14 +313,14 @@
             ..
         } = self;
         drop((body, guard, moving));
-        if end != End::Whole {
-            // The server then breaks the connection off, unless the caller has.
+        if end != End::Completed {
+            // Makes the HTTP server abort the connection, unless the caller has closed it.
             let _ = to_caller.send(Err(StreamBroken)).await;
         }
     }
 }
 
-/// What the engine sends next; nothing while there is none.
+/// Returns the next frame from the engine; never completes while there is no engine.
 async fn next_frame(body: &mut Option<Incoming>) -> Option<Result<Frame<Bytes>, hyper::Error>> {
     match body {
         None => std::future::pending().await,
@@ -320,8 +328,8 @@
     }
 }
 
-/// The end of a move, if there is one.
-async fn finished(moving: &mut Option<SessionMove>) -> Result<String, MoveError> {
+/// Returns the result of the pending move; never completes while there is none.
+async fn move_finished(moving: &mut Option<SessionMove>) -> Result<String, MoveError> {
     match moving {
         None => std::future::pending().await,
         Some(moving) => moving.finished().await,
