--- a/crates/daemon/src/relaying/stream_call.rs
+++ b/crates/daemon/src/relaying/stream_call.rs
@@ -57,7 +57,7 @@
         }
         StartResult::NotRun => {
             guard.set_end(RunEnd::Refused);
-            log_failed_start(&exchange, "no engine accepted the request", None);
+            log_failed_start(&exchange, "no engine took it", None);
             let retry_after = exchange.caller_retry_after(REFUSED_RETRY_AFTER).await;
             caller_answer::not_run(retry_after, "no engine took the request")
         }
--- a/crates/daemon/src/relaying/stream_relay.rs
+++ b/crates/daemon/src/relaying/stream_relay.rs
@@ -43,7 +43,7 @@
 
 /// Silence after which an engine is checked for reachability: several times the longest gap
 /// between events that still counts as in time.
-const SILENCE_BEFORE_PROBE: Duration = Duration::from_millis(600);
+const SILENCE_BEFORE_CHECK: Duration = Duration::from_millis(600);
 
 type Piece = Result<Frame<Bytes>, StreamBroken>;
 
@@ -173,12 +173,12 @@
 
     async fn step(&mut self) -> Step {
         let clock = self.exchange.app.clock;
-        let time_over = clock.instant(self.exchange.answer_deadline);
-        let silent_at = clock.instant(self.silent_since + SILENCE_BEFORE_PROBE);
+        let deadline = clock.instant(self.exchange.answer_deadline);
+        let silent_at = clock.instant(self.silent_since + SILENCE_BEFORE_CHECK);
         let frame = tokio::select! {
             biased;
             () = self.to_caller.closed() => return Step::CallerDisconnected,
-            () = sleep_until(time_over) => return Step::DeadlineExceeded,
+            () = sleep_until(deadline) => return Step::DeadlineExceeded,
             moved = move_finished(&mut self.moving) => return Step::Moved(moved),
             Some(signal) = self.signals.recv() => return self.handle_signal(signal),
             frame = next_frame(&mut self.body) => frame,
@@ -217,13 +217,13 @@
         if events_before == 0 || events_before / PROGRESS_EVERY != self.events / PROGRESS_EVERY {
             self.report_progress();
         }
-        let time_over = self
+        let deadline = self
             .exchange
             .app
             .clock
             .instant(self.exchange.answer_deadline);
         let sent = self.to_caller.send(Ok(Frame::data(piece.freeze())));
-        match tokio::time::timeout_at(time_over, sent).await {
+        match tokio::time::timeout_at(deadline, sent).await {
             Ok(Ok(())) => Step::Continue,
             Ok(Err(_)) => Step::CallerDisconnected,
             Err(_) => Step::DeadlineExceeded,
--- a/crates/testbed/tests/programs.rs
+++ b/crates/testbed/tests/programs.rs
@@ -142,10 +142,10 @@
 async fn wait_returns_when_a_version_is_in_force_everywhere() {
     let scene = Scene::builder(2).start().await.unwrap();
     let version = scene.publish_document().await.unwrap();
-    let answer_timeout = Duration::from_secs(20);
+    let wait_timeout = Duration::from_secs(20);
     scene
         .operator("b1")
-        .wait(version, answer_timeout, |_, _| {})
+        .wait(version, wait_timeout, |_, _| {})
         .await
         .unwrap();
     let too_new = scene
