--- a/crates/daemon/src/gateway/gateway_thread.rs
+++ b/crates/daemon/src/gateway/gateway_thread.rs
@@ -33,7 +33,7 @@
 use crate::gateway::gateway_metrics::GatewayMetrics;
 use crate::gateway::gateway_views::GatewayViews;
 use crate::process::clock::Clock;
-use crate::process::clock::SuspensionWatch;
+use crate::process::clock::SuspensionDetector;
 use crate::process::control_sender::ControlSender;
 
 mod beliefs;
@@ -101,7 +101,7 @@
         limits_counted_at: clock.now(),
         metrics,
         news,
-        suspensions: SuspensionWatch::new(clock),
+        suspensions: SuspensionDetector::new(clock),
     };
     std::thread::Builder::new()
         .name("control".to_owned())
@@ -130,7 +130,7 @@
     limits_counted_at: Now,
     metrics: Arc<GatewayMetrics>,
     news: Arc<Notify>,
-    suspensions: SuspensionWatch,
+    suspensions: SuspensionDetector,
 }
 
 impl GatewayThread {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -46,14 +46,14 @@
         .thread_name("traffic")
         .enable_all()
         .build()?;
-    let (log, last_lines) = logger(&settings.instance, &settings.zone, settings.log_level);
+    let (log, pending_lines) = logger(&settings.instance, &settings.zone, settings.log_level);
     let finished = runtime.block_on(async {
         let daemon = Daemon::start(settings, log).await?;
         announce(&daemon);
         stop_signal().await?;
         Ok(daemon.stop().await)
     });
-    if !last_lines.written() {
+    if !pending_lines.written() {
         eprintln!("the last log lines were not read in time");
     }
     finished
--- a/crates/daemon/src/process.rs
+++ b/crates/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! What every process needs: clocks, settings files, logs, metrics, connections.
+//! Code that every daemon process needs: clocks, settings files, logs, metrics, HTTP connections.
 
 pub(crate) mod answered;
 pub(crate) mod clock;
@@ -9,4 +9,4 @@
 pub(crate) mod metrics;
 pub(crate) mod settings_file;
 pub(crate) mod settings_reader;
-pub(crate) mod whole_lines;
+pub(crate) mod whole_line_writer;
--- a/crates/daemon/src/process/answered.rs
+++ b/crates/daemon/src/process/answered.rs
@@ -1,21 +1,22 @@
-//! An answer of a backend server with what it says of the server itself.
+//! The result of a request to a backend server, with the server notice of its answer.
 
 use iristhread_core::Now;
 use iristhread_core::ObservedNotice;
 use iristhread_core::ServerNotice;
 
-/// What became of a request, an order or a question, and what the answer says of its backend
-/// server.
+/// The result of a request, an order or a query to a backend server, with the server notice of the
+/// answer.
 #[derive(Clone, Debug)]
 pub struct Answered<T, E> {
-    /// What became of it.
+    /// The result.
     pub result: Result<T, E>,
-    /// What the answer says of the server.
+    /// The server notice of the answer; empty if there is no answer.
     pub notice: ServerNotice,
 }
 
 impl<T, E> Answered<T, E> {
-    /// What was heard of the server; `reports_limits` where it would have named its limit.
+    /// Returns the notice with the time at which the request was sent. `reports_limits` is true if
+    /// the server would have declared its limit in this answer.
     pub fn heard(&self, sent_at: Now, reports_limits: bool) -> ObservedNotice {
         ObservedNotice {
             notice: self.notice,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// An answer that says nothing of its server, or none at all.
+    /// Creates a result without a server notice, for an answer that has none or a missing answer.
     pub fn bare(result: Result<T, E>) -> Self {
         Answered {
             result,
--- a/crates/daemon/src/process/clock.rs
+++ b/crates/daemon/src/process/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of the process, read here and passed on.
+//! Reads the clocks of the process.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use iristhread_core::Now;
 use nix::time::ClockId;
 
-/// How far the two clocks may drift apart between two looks before that counts as a
-/// suspension: they are read one after the other, and a process may wait in between.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(100);
+/// Minimum difference between the progress of the two clocks that counts as a suspension. The
+/// clocks are read one after the other, and the process may be descheduled in between.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Clocks of the machine.
+/// Source of the two clocks from which [`Clock`] reads.
 pub trait ClockSource: Debug + Send + Sync {
-    /// Time that goes on while the machine is suspended, since some moment.
+    /// Time since an arbitrary point, which includes the time of suspensions.
     fn boot_time(&self) -> Duration;
 
-    /// Time that the runtime's timers count, which stands still meanwhile.
+    /// Time by which the timers of the runtime run; it stops while the machine is suspended.
     fn running_time(&self) -> Instant;
 }
 
-/// The clocks of this machine.
+/// The clocks of the operating system.
 #[derive(Debug)]
-pub struct MachineClocks;
+pub struct SystemClocks;
 
-impl ClockSource for MachineClocks {
-    /// Where the system has no such clock, the one that stands still must do.
+impl ClockSource for SystemClocks {
+    /// Falls back to the clock that stops during suspensions if the system has no other.
     fn boot_time(&self) -> Duration {
         let time = ClockId::CLOCK_BOOTTIME.now();
         let time = time.or_else(|_| ClockId::CLOCK_MONOTONIC.now());
@@ -39,8 +39,8 @@
     }
 }
 
-/// Monotonic time since the start of the process, suspensions included, and wall time for
-/// labels.
+/// Monotonic time since the start of the process, including suspensions, and wall time for use in
+/// logs and other output.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     source: &'static dyn ClockSource,
@@ -48,12 +48,12 @@
 }
 
 impl Clock {
-    /// Starts now.
+    /// Creates a clock that starts now and reads the clocks of the operating system.
     pub fn start() -> Self {
-        Clock::with(&MachineClocks)
+        Clock::with(&SystemClocks)
     }
 
-    /// Starts now, by clocks of any kind.
+    /// Creates a clock that starts now and reads the given source.
     pub fn with(source: &'static dyn ClockSource) -> Self {
         Clock {
             source,
@@ -61,21 +61,21 @@
         }
     }
 
-    /// Monotonic time since the start. After a suspension of 5 s all ages, deadlines and
-    /// leases are 5 s older; by the clock that stands still, an instance went by what it
-    /// had known before.
+    /// Returns the monotonic time since the start. After a suspension of 5 s all ages, deadlines
+    /// and leases are 5 s older. By a clock that stops during suspensions an instance would act
+    /// on outdated state afterwards.
     pub fn now(&self) -> Now {
         self.source.boot_time().saturating_sub(self.start)
     }
 
-    /// The same moment for timers of the runtime; ask again after a suspension, in which
-    /// those stand still.
+    /// Converts a time to the clock of the runtime's timers. The result is invalid after a
+    /// suspension, during which that clock stops, and must be computed again.
     pub fn instant(&self, at: Now) -> tokio::time::Instant {
         let left = at.saturating_sub(self.now());
         tokio::time::Instant::from_std(self.source.running_time() + left)
     }
 
-    /// Milliseconds since 1970.
+    /// Returns the wall time in milliseconds since 1970; 0 if the wall clock is before 1970.
     pub fn wall_ms(&self) -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let since = since.unwrap_or(Duration::ZERO);
@@ -83,29 +83,29 @@
     }
 }
 
-/// Notices that the machine was suspended.
+/// Detects suspensions of the machine.
 #[derive(Clone, Copy, Debug)]
-pub struct SuspensionWatch {
+pub struct SuspensionDetector {
     clock: Clock,
-    seen: (Now, Instant),
+    last_readings: (Now, Instant),
 }
 
-impl SuspensionWatch {
-    /// Watches from now on.
+impl SuspensionDetector {
+    /// Creates a detector that detects suspensions from now on.
     pub fn new(clock: Clock) -> Self {
-        SuspensionWatch {
+        SuspensionDetector {
             clock,
-            seen: (clock.now(), clock.source.running_time()),
+            last_readings: (clock.now(), clock.source.running_time()),
         }
     }
 
-    /// How long the machine was suspended since this was asked last, if it was.
+    /// Returns how long the machine was suspended since the last call; `None` if it was not.
     pub fn suspended_for(&mut self) -> Option<Duration> {
-        let seen = (self.clock.now(), self.clock.source.running_time());
-        let all = seen.0.saturating_sub(self.seen.0);
-        let running = seen.1.saturating_duration_since(self.seen.1);
-        self.seen = seen;
+        let readings = (self.clock.now(), self.clock.source.running_time());
+        let all = readings.0.saturating_sub(self.last_readings.0);
+        let running = readings.1.saturating_duration_since(self.last_readings.1);
+        self.last_readings = readings;
         let suspended = all.saturating_sub(running);
-        (suspended >= LEAST_SUSPENSION).then_some(suspended)
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
--- a/crates/daemon/src/process/control_sender.rs
+++ b/crates/daemon/src/process/control_sender.rs
@@ -1,9 +1,9 @@
-//! The way to a control thread.
+//! Channel to a control thread.
 
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// Sends messages to the thread that owns a state; cheap to clone.
+/// Sends messages to the thread that owns a state. Clones share the channel.
 #[derive(Debug)]
 pub struct ControlSender<Message> {
     messages: mpsc::UnboundedSender<Message>,
@@ -18,19 +18,19 @@
 }
 
 impl<Message> ControlSender<Message> {
-    /// A sender, and the inbox of the thread.
+    /// Creates an unbounded channel and returns the sender and the thread's receiver.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (messages, inbox) = mpsc::unbounded_channel();
         (ControlSender { messages }, inbox)
     }
 
-    /// Tells of something.
+    /// Sends a message that needs no answer. It is dropped if the process is stopping.
     pub fn tell(&self, message: Message) {
         // Fails only when the process is stopping.
         let _ = self.messages.send(message);
     }
 
-    /// Asks for an answer; `None` when the process is stopping.
+    /// Sends a message and waits for the answer; `None` if the process is stopping.
     pub async fn ask<Answer>(
         &self,
         message: impl FnOnce(oneshot::Sender<Answer>) -> Message,
--- a/crates/daemon/src/process/http_server.rs
+++ b/crates/daemon/src/process/http_server.rs
@@ -21,21 +21,22 @@
 use viz::Router;
 use viz::Tree;
 
-/// Room for headers above the limit, so that the refusal can name it.
-const HEADER_SLACK: usize = 4;
+/// Size of the read buffer relative to the limit of headers. Headers above the limit still fit, so
+/// that the request can be refused with an error that states the limit.
+const HEADER_BUFFER_FACTOR: usize = 4;
 
 /// Limits of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Most connections.
+    /// Maximum number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// Most bytes of headers.
+    /// Maximum size of the headers of a request in bytes.
     pub max_header_bytes: usize,
-    /// Longest time to send them.
+    /// Maximum time in which a caller must send the headers.
     pub header_timeout: Duration,
 }
 
-/// Serves routes until `stop` is true, then waits for what runs.
+/// Serves the routes until `stop` is true, then waits for the requests in progress.
 pub async fn serve(
     listener: TcpListener,
     router: Router,
@@ -47,8 +48,8 @@
     serve_with(listener, service, limits, stop).await;
 }
 
-/// Serves with a service per connection until `stop` is true, then waits for
-/// what runs.
+/// Serves with one service per connection until `stop` is true, then waits for the requests in
+/// progress.
 pub async fn serve_with<S, B>(
     listener: TcpListener,
     service: impl Fn(SocketAddr) -> S,
@@ -62,33 +63,33 @@
     B::Data: Send,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let places = Arc::new(Semaphore::new(limits.max_connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     let graceful = GracefulShutdown::new();
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new());
     http.header_read_timeout(limits.header_timeout);
-    http.max_buf_size(limits.max_header_bytes * HEADER_SLACK);
+    http.max_buf_size(limits.max_header_bytes * HEADER_BUFFER_FACTOR);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = stop.wait_for(|stop| *stop) => break,
         };
         let Ok((stream, address)) = accepted else {
-            // Out of file numbers, or the peer has left already.
+            // The process is out of file descriptors, or the caller has already disconnected.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let Ok(place) = places.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             continue;
         };
-        // Fails only on a connection that is closed already.
+        // Fails only if the connection is already closed.
         let _ = stream.set_nodelay(true);
         let connection = http.serve_connection(TokioIo::new(stream), service(address));
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
-            // A connection that breaks is the caller's affair.
+            // A broken connection is not an error of the server.
             let _ = connection.await;
-            drop(place);
+            drop(permit);
         });
     }
     drop(listener);
--- a/crates/daemon/src/process/log_limit.rs
+++ b/crates/daemon/src/process/log_limit.rs
@@ -1,4 +1,4 @@
-//! Bounds how many lines of one kind are logged a second.
+//! Limits the rate of log lines per call site.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -13,14 +13,16 @@
 use slog::RecordStatic;
 use slog::b;
 
-/// Lines of one kind a second: more than an instance handles requests (docs/CAPACITY.md).
-const LINES_PER_S: u32 = 200;
+/// Maximum number of lines per second and call site. It is higher than the number of requests per
+/// second that an instance handles (docs/CAPACITY.md).
+const MAX_LINES_PER_S: u32 = 200;
 
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// A kind of line: the place in the code that writes it.
-type Kind = (&'static str, u32);
+/// File and line of the code that writes a log line.
+type CallSite = (&'static str, u32);
 
+/// Counts the lines of one call site within one second.
 #[derive(Debug)]
 struct Window {
     began: Instant,
@@ -28,16 +30,16 @@
     left_out: u64,
 }
 
-/// Passes on a bounded number of lines of a kind a second; says how many it
-/// left out. Warnings and errors always pass: failures are kept before successes.
+/// Passes on a limited number of lines per second and call site, and logs how many it dropped.
+/// Warnings and errors always pass, so that failures are never dropped in favour of successes.
 #[derive(Debug)]
 pub struct LogLimit<D> {
     inner: D,
-    windows: Mutex<HashMap<Kind, Window>>,
+    windows: Mutex<HashMap<CallSite, Window>>,
 }
 
 impl<D> LogLimit<D> {
-    /// Limits what goes to `inner`.
+    /// Creates a limit in front of `inner`.
     pub fn new(inner: D) -> Self {
         LogLimit {
             inner,
@@ -45,10 +47,11 @@
         }
     }
 
-    /// Whether the line passes, and how many of its kind were left out before.
-    fn passes(&self, kind: Kind, now: Instant) -> (bool, u64) {
+    /// Returns whether the line passes, and how many lines of its call site were dropped in the
+    /// window that this line ends, if it ends one.
+    fn passes(&self, call_site: CallSite, now: Instant) -> (bool, u64) {
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
-        let window = windows.entry(kind).or_insert(Window {
+        let window = windows.entry(call_site).or_insert(Window {
             began: now,
             passed: 0,
             left_out: 0,
@@ -62,7 +65,7 @@
                 left_out: 0,
             };
         }
-        if window.passed < LINES_PER_S {
+        if window.passed < MAX_LINES_PER_S {
             window.passed += 1;
             return (true, left_out);
         }
@@ -79,18 +82,18 @@
         if record.level().is_at_least(Level::Warning) {
             return self.inner.log(record, values).map(Some);
         }
-        let kind = (record.file(), record.line());
-        let (passes, left_out) = self.passes(kind, Instant::now());
+        let call_site = (record.file(), record.line());
+        let (passes, left_out) = self.passes(call_site, Instant::now());
         if left_out > 0 {
-            let place = RecordStatic {
+            let warning = RecordStatic {
                 location: record.location(),
                 level: Level::Warning,
                 tag: record.tag(),
             };
             let count = b!("left_out" => left_out, "kind" => record.msg().to_string());
-            let message = format_args!("log lines were left out");
+            let message = format_args!("log lines were dropped by the rate limit");
             self.inner
-                .log(&Record::new(&place, &message, count), values)?;
+                .log(&Record::new(&warning, &message, count), values)?;
         }
         if !passes {
             return Ok(None);
--- a/crates/daemon/src/process/logging.rs
+++ b/crates/daemon/src/process/logging.rs
@@ -1,8 +1,8 @@
-//! JSON lines on standard output.
+//! Writes log lines as JSON to standard output.
 //!
-//! No prompt, answer or key is ever given to the logger. Writing never holds
-//! anything up: lines wait in a bounded queue for a thread of their own, and
-//! what does not fit is dropped and counted.
+//! No prompt, answer or key is ever passed to the logger. Logging never blocks the caller: lines
+//! go through a bounded queue to a writer thread, and lines that do not fit are dropped and
+//! counted.
 
 use std::io::Write;
 use std::sync::mpsc;
@@ -14,52 +14,51 @@
 use slog::o;
 
 use crate::process::log_limit::LogLimit;
-use crate::process::whole_lines::WholeLines;
+use crate::process::whole_line_writer::WholeLineWriter;
 
-/// Lines that wait for the writer; about a megabyte at most.
-const QUEUED_LINES: usize = 4_096;
+/// Maximum number of lines that wait for the writer thread, at most about 1 MB.
+const LOG_QUEUE_CAPACITY: usize = 4_096;
 
-/// Longest wait for the last lines at the end of a process: they are a few, and
-/// a reader that is blocked must not hold up a planned stop.
-const LAST_LINES_WAIT: Duration = Duration::from_millis(100);
+/// Maximum time to wait for queued lines at the end of the process. Only a few lines are queued
+/// then, and a blocked reader of the output must not delay a planned stop.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Writes what is still queued.
-pub struct LastLines {
+/// The log lines that are still queued at the end of the process.
+pub struct PendingLines {
     writer: slog_async::AsyncGuard,
 }
 
-impl LastLines {
-    /// Waits until all lines are written, for a short time only. Returns whether
-    /// they are.
+impl PendingLines {
+    /// Waits until all lines are written, but no longer than 100 ms. Returns whether they are.
     pub fn written(self) -> bool {
         let (done, wait) = mpsc::channel();
         let writer = self.writer;
         std::thread::spawn(move || {
-            // Joins the thread that writes.
+            // Joins the writer thread.
             drop(writer);
-            // Nobody listens when the wait was too long.
+            // Fails only after the timeout, when the receiver is gone.
             let _ = done.send(());
         });
-        wait.recv_timeout(LAST_LINES_WAIT).is_ok()
+        wait.recv_timeout(FLUSH_TIMEOUT).is_ok()
     }
 }
 
-/// The logger of a process, to standard output.
-pub fn logger(instance: &str, zone: &str, level: Level) -> (Logger, LastLines) {
+/// Creates the logger of a process, which writes to standard output.
+pub fn logger(instance: &str, zone: &str, level: Level) -> (Logger, PendingLines) {
     logger_to(std::io::stdout(), instance, zone, level)
 }
 
-/// A logger to a writer.
+/// Creates a logger that writes to `writer`.
 pub fn logger_to<W: Write + Send + 'static>(
     writer: W,
     instance: &str,
     zone: &str,
     level: Level,
-) -> (Logger, LastLines) {
-    // A reader that went away must not end the process.
-    let json = slog_json::Json::default(WholeLines::new(writer)).ignore_res();
+) -> (Logger, PendingLines) {
+    // A write error, such as a closed pipe, must not end the process.
+    let json = slog_json::Json::default(WholeLineWriter::new(writer)).ignore_res();
     let (queued, writer) = slog_async::Async::new(json)
-        .chan_size(QUEUED_LINES)
+        .chan_size(LOG_QUEUE_CAPACITY)
         .build_with_guard();
     let queued = queued.ignore_res();
     let limited = LogLimit::new(queued).ignore_res();
@@ -68,5 +67,5 @@
         "instance" => instance.to_owned(),
         "availability_zone" => zone.to_owned(),
     );
-    (Logger::root(levelled, context), LastLines { writer })
+    (Logger::root(levelled, context), PendingLines { writer })
 }
--- a/crates/daemon/src/process/metrics.rs
+++ b/crates/daemon/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics over UDP in the StatsD form.
+//! Sends metrics over UDP in the StatsD format.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
@@ -13,23 +13,24 @@
 use cadence::Timed;
 use iristhread_core::Outcome;
 
+/// Prefix of the names of all metrics.
 const PREFIX: &str = "iristhread";
 
-/// Datagrams that wait for the sender.
-const QUEUED: usize = 4_096;
+/// Maximum number of metrics that wait for the sender thread.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// What one process measures.
+/// The metrics of one process.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
 }
 
 impl Metrics {
-    /// Sends to `address`, or nowhere.
+    /// Creates metrics that are sent to `address`, or dropped if there is none.
     ///
     /// # Errors
     ///
-    /// When no socket can be opened.
+    /// No UDP socket can be opened.
     pub fn new(address: Option<SocketAddr>, instance: &str, zone: &str) -> std::io::Result<Self> {
         let builder = match address {
             None => StatsdClient::builder(PREFIX, NopMetricSink),
@@ -38,7 +39,7 @@
                 socket.set_nonblocking(true)?;
                 let sink =
                     BufferedUdpMetricSink::from(address, socket).map_err(std::io::Error::other)?;
-                let queued = QueuingMetricSink::with_capacity(sink, QUEUED);
+                let queued = QueuingMetricSink::with_capacity(sink, QUEUE_CAPACITY);
                 StatsdClient::builder(PREFIX, queued)
             }
         };
@@ -49,7 +50,7 @@
         Ok(Metrics { client })
     }
 
-    /// A request ended with an outcome.
+    /// Counts a request that ended with `outcome`.
     pub fn ended(&self, workspace: &str, outcome: Outcome) {
         let metric = self.client.count_with_tags("requests", 1);
         metric
@@ -58,28 +59,28 @@
             .send();
     }
 
-    /// Time to the first token.
+    /// Records the time to the first token of a stream.
     pub fn first_token(&self, time: Duration) {
         self.client.time_with_tags("first_token_ms", time).send();
     }
 
-    /// Longest time without progress of a stream that ended.
+    /// Records the longest time without progress of a stream that ended.
     pub fn longest_gap(&self, time: Duration) {
         self.client.time_with_tags("longest_gap_ms", time).send();
     }
 
-    /// A session was displaced by its engine.
+    /// Counts a session that its engine preempted.
     pub fn preempted(&self) {
         self.client.count_with_tags("preemptions", 1).send();
     }
 
-    /// An attempt was given up.
+    /// Counts an attempt that was lost to `cause`.
     pub fn attempt_lost(&self, cause: &str) {
         let metric = self.client.count_with_tags("attempts_lost", 1);
         metric.with_tag("cause", cause).send();
     }
 
-    /// Requests that wait and that run.
+    /// Reports the number of queued and of running requests.
     pub fn load(&self, queued: u64, running: u64) {
         self.client.gauge_with_tags("queued", queued).send();
         self.client.gauge_with_tags("running", running).send();
--- a/crates/daemon/src/process/settings_reader.rs
+++ b/crates/daemon/src/process/settings_reader.rs
@@ -1,4 +1,5 @@
-//! Reads a settings file and collects every fault before anything starts.
+//! Parses a settings file and collects all of its faults, so that they are reported together,
+//! before anything starts.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,13 +13,13 @@
 /// One fault of a settings file.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsFault {
-    /// The file.
+    /// Name of the settings file.
     pub file: String,
-    /// The key, with its table.
+    /// The key, with its table, as `table.key`.
     pub key: String,
-    /// The value found, or `nothing`.
+    /// The value that was found, or `nothing` if the key is absent.
     pub value: String,
-    /// What to write instead.
+    /// How to correct the value.
     pub fix: String,
 }
 
@@ -34,7 +35,8 @@
     }
 }
 
-/// Takes values out of a table; what is left at the end is unknown.
+/// Reads the values of a settings file. Each read removes the key, so that the keys that are left
+/// at the end are unknown ones.
 pub struct SettingsReader {
     file: String,
     table: Table,
@@ -42,7 +44,7 @@
 }
 
 impl SettingsReader {
-    /// Parses a file's text.
+    /// Parses the text of a file. Text that is not valid TOML is a fault, and the table is empty.
     pub fn new(file: &str, text: &str) -> Self {
         let mut reader = SettingsReader {
             file: file.to_owned(),
@@ -51,29 +53,29 @@
         };
         match text.parse::<Table>() {
             Ok(table) => reader.table = table,
-            Err(error) => reader.fault("the file", "no TOML", &error.to_string()),
+            Err(error) => reader.fault("the file", "not valid TOML", &error.to_string()),
         }
         reader
     }
 
-    /// A text that must be there.
+    /// Reads a required text, which must not be empty.
     pub fn text(&mut self, key: &str, fix: &str) -> String {
         match self.take(key) {
             Some(Value::String(text)) if !text.is_empty() => text,
-            found => self.wrong(key, found, fix, String::new()),
+            found => self.reject(key, found, fix, String::new()),
         }
     }
 
-    /// A text with a default.
+    /// Reads an optional text; returns `default` if the key is absent.
     pub fn text_or(&mut self, key: &str, default: &str, fix: &str) -> String {
         match self.take(key) {
             None => default.to_owned(),
             Some(Value::String(text)) => text,
-            found => self.wrong(key, found, fix, default.to_owned()),
+            found => self.reject(key, found, fix, default.to_owned()),
         }
     }
 
-    /// A list of texts that must be there.
+    /// Reads a required list of texts.
     pub fn texts(&mut self, key: &str, fix: &str) -> Vec<String> {
         let found = self.take(key);
         let texts: Option<Vec<&str>> = match &found {
@@ -85,11 +87,11 @@
                 .into_iter()
                 .map(str::to_owned)
                 .collect::<Vec<String>>(),
-            None => self.wrong(key, found, fix, Vec::new()),
+            None => self.reject(key, found, fix, Vec::new()),
         }
     }
 
-    /// A list of texts that may be absent.
+    /// Reads an optional list of texts; returns an empty list if the key is absent.
     pub fn texts_or_none(&mut self, key: &str, fix: &str) -> Vec<String> {
         if self.peek(key).is_some() {
             return self.texts(key, fix);
@@ -97,20 +99,20 @@
         Vec::new()
     }
 
-    /// An address that must be there, `IP:PORT`.
+    /// Reads a required address of the form `IP:PORT`.
     pub fn address(&mut self, key: &str) -> SocketAddr {
-        let fix = "write an IP number and a port, such as \"127.0.0.1:8080\"";
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let fix = "write an IP address and a port, such as \"127.0.0.1:8080\"";
+        let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
         match self.take(key) {
             Some(Value::String(text)) => match text.parse() {
                 Ok(address) => address,
-                Err(_) => self.wrong(key, Some(Value::String(text)), fix, nowhere),
+                Err(_) => self.reject(key, Some(Value::String(text)), fix, placeholder),
             },
-            found => self.wrong(key, found, fix, nowhere),
+            found => self.reject(key, found, fix, placeholder),
         }
     }
 
-    /// An address that may be absent.
+    /// Reads an optional address of the form `IP:PORT`.
     pub fn address_or_none(&mut self, key: &str) -> Option<SocketAddr> {
         if self.peek(key).is_some() {
             return Some(self.address(key));
@@ -118,7 +120,7 @@
         None
     }
 
-    /// A number with a default and a range.
+    /// Reads an optional whole number in `range`; returns `default` if the key is absent.
     pub fn number(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> u64 {
         let fix = format!("give a number from {} to {}", range.start(), range.end());
         let found = self.take(key);
@@ -129,11 +131,11 @@
         };
         match number.filter(|number| range.contains(number)) {
             Some(number) => number,
-            None => self.wrong(key, found, &fix, default),
+            None => self.reject(key, found, &fix, default),
         }
     }
 
-    /// A fraction or factor with a default and a range.
+    /// Reads an optional fraction or factor in `range`; returns `default` if the key is absent.
     pub fn share(&mut self, key: &str, default: f64, range: RangeInclusive<f64>) -> f64 {
         let fix = format!("give a number from {} to {}", range.start(), range.end());
         let found = self.take(key);
@@ -145,16 +147,17 @@
         };
         match number.filter(|number| range.contains(number)) {
             Some(number) => number,
-            None => self.wrong(key, found, &fix, default),
+            None => self.reject(key, found, &fix, default),
         }
     }
 
-    /// A time in milliseconds with a default and a range.
+    /// Reads an optional time in milliseconds in `range`; returns `default` milliseconds if the key
+    /// is absent.
     pub fn time_ms(&mut self, key: &str, default: u64, range: RangeInclusive<u64>) -> Duration {
         Duration::from_millis(self.number(key, default, range))
     }
 
-    /// Notes a fault of a value that was read.
+    /// Adds a fault of a value.
     pub fn fault(&mut self, key: &str, value: &str, fix: &str) {
         self.faults.push(SettingsFault {
             file: self.file.clone(),
@@ -164,7 +167,7 @@
         });
     }
 
-    /// Every fault, keys that nobody asked for included.
+    /// Returns all faults. Each key that was not read is a fault, too.
     pub fn finish(mut self) -> Vec<SettingsFault> {
         for (key, value) in std::mem::take(&mut self.table) {
             match value {
@@ -180,13 +183,14 @@
     }
 
     fn unknown(&mut self, key: &str, value: &Value) {
-        let fix = "no such key; remove it, or see `iristhreadd --help` for its name";
-        self.fault(key, &shown(Some(value)), fix);
+        let fix = "no such key; remove it, or see `iristhreadd --help` for the valid keys";
+        self.fault(key, &format_value(Some(value)), fix);
     }
 
-    fn wrong<T>(&mut self, key: &str, found: Option<Value>, fix: &str, instead: T) -> T {
-        self.fault(key, &shown(found.as_ref()), fix);
-        instead
+    /// Adds a fault of `key` and returns `placeholder`, so that reading goes on.
+    fn reject<T>(&mut self, key: &str, found: Option<Value>, fix: &str, placeholder: T) -> T {
+        self.fault(key, &format_value(found.as_ref()), fix);
+        placeholder
     }
 
     fn peek(&self, key: &str) -> Option<&Value> {
@@ -204,12 +208,12 @@
     }
 }
 
-/// A value as a fault shows it.
-fn shown(value: Option<&Value>) -> String {
+/// Formats a value for a fault.
+fn format_value(value: Option<&Value>) -> String {
     value.map_or_else(|| "nothing".to_owned(), ToString::to_string)
 }
 
-/// A name that is safe in logs and paths.
+/// Reads a required name that is safe in logs and paths.
 pub fn read_name(reader: &mut SettingsReader, key: &str) -> String {
     let fix = "give a name without `~`, `/` or a space";
     let name = reader.text(key, fix);
@@ -219,30 +223,31 @@
     name
 }
 
-/// The keys that all instances share.
+/// Reads the keys that all instances share.
 pub fn read_keyring(reader: &mut SettingsReader) -> Keyring {
     let fix = "list one or two keys of 64 hex digits; all instances share them";
     let keys = reader.texts("peer_keys", fix);
     match Keyring::from_hex(&keys) {
         Ok(keyring) => keyring,
         Err(error) => {
-            // The value is secret: the fault does not show it.
+            // The value is secret, so the fault does not contain it.
             reader.fault("peer_keys", "unusable", &format!("{error}; {fix}"));
             placeholder_keyring()
         }
     }
 }
 
-/// Fills the field while faults are collected; never used to sign.
+/// Returns a keyring that stands in for an invalid one while faults are collected. It never signs
+/// anything.
 fn placeholder_keyring() -> Keyring {
     let zeros = "00".repeat(32);
     match Keyring::from_hex(&[zeros]) {
         Ok(keyring) => keyring,
-        Err(_) => unreachable!("64 zeros are a key"),
+        Err(_) => unreachable!("64 zeros are a valid key"),
     }
 }
 
-/// The least level that is logged.
+/// Reads the lowest level that is logged; `info` by default.
 pub fn read_level(reader: &mut SettingsReader) -> slog::Level {
     let fix = "use one of critical, error, warning, info, debug, trace";
     let text = reader.text_or("log_level", "info", fix);
--- a/crates/daemon/tests/clock.rs
+++ b/crates/daemon/tests/clock.rs
@@ -1,5 +1,6 @@
-//! The clock goes on while the machine is suspended, in which the runtime's timers stand
-//! still: after 5 s an instance went by ages, deadlines and peers of 5 s before.
+//! The clock counts the time for which the machine is suspended. By a clock that stops meanwhile,
+//! as the runtime's timers do, an instance acts after a suspension of 5 s on ages, deadlines and
+//! peers that are 5 s out of date.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::sync::Mutex;
@@ -8,40 +9,42 @@
 
 use iristhread_daemon::Clock;
 use iristhread_daemon::ClockSource;
-use iristhread_daemon::SuspensionWatch;
+use iristhread_daemon::SuspensionDetector;
 
-/// Clocks that a test moves: time that ran, and time that the machine was suspended.
+/// Clocks that a test advances: by time in which the machine runs, and by time in which it is
+/// suspended.
 #[derive(Debug)]
-struct MovedClocks {
+struct SimulatedClocks {
     began: Instant,
-    moved: Mutex<(Duration, Duration)>,
+    /// The sum of the running time and the sum of the suspended time.
+    elapsed: Mutex<(Duration, Duration)>,
 }
 
-impl MovedClocks {
-    fn new() -> &'static MovedClocks {
-        Box::leak(Box::new(MovedClocks {
+impl SimulatedClocks {
+    fn new() -> &'static SimulatedClocks {
+        Box::leak(Box::new(SimulatedClocks {
             began: Instant::now(),
-            moved: Mutex::default(),
+            elapsed: Mutex::default(),
         }))
     }
 
     fn run(&self, time: Duration) {
-        self.moved.lock().unwrap().0 += time;
+        self.elapsed.lock().unwrap().0 += time;
     }
 
     fn suspend(&self, time: Duration) {
-        self.moved.lock().unwrap().1 += time;
+        self.elapsed.lock().unwrap().1 += time;
     }
 }
 
-impl ClockSource for MovedClocks {
+impl ClockSource for SimulatedClocks {
     fn boot_time(&self) -> Duration {
-        let moved = self.moved.lock().unwrap();
-        Duration::from_secs(1_000) + moved.0 + moved.1
+        let elapsed = self.elapsed.lock().unwrap();
+        Duration::from_secs(1_000) + elapsed.0 + elapsed.1
     }
 
     fn running_time(&self) -> Instant {
-        self.began + self.moved.lock().unwrap().0
+        self.began + self.elapsed.lock().unwrap().0
     }
 }
 
@@ -50,8 +53,8 @@
 }
 
 #[test]
-fn a_suspension_counts() {
-    let clocks = MovedClocks::new();
+fn clock_includes_suspensions() {
+    let clocks = SimulatedClocks::new();
     let clock = Clock::with(clocks);
     clocks.run(s(3));
     assert_eq!(clock.now(), s(3));
@@ -60,8 +63,8 @@
 }
 
 #[test]
-fn a_deadline_is_that_much_nearer_for_timers() {
-    let clocks = MovedClocks::new();
+fn suspension_shortens_the_timer_of_a_deadline() {
+    let clocks = SimulatedClocks::new();
     let clock = Clock::with(clocks);
     let timer = |seconds: u64| tokio::time::Instant::from_std(clocks.began + s(seconds));
     assert_eq!(clock.instant(s(10)), timer(10));
@@ -69,27 +72,31 @@
     clocks.suspend(s(5));
     assert_eq!(clock.instant(s(10)), timer(5), "4 s are left, 1 s has run");
     clocks.suspend(s(60));
-    assert_eq!(clock.instant(s(10)), timer(1), "what is over is due now");
+    assert_eq!(
+        clock.instant(s(10)),
+        timer(1),
+        "an expired deadline is due now"
+    );
 }
 
 #[test]
-fn a_suspension_is_noticed_once() {
-    let clocks = MovedClocks::new();
-    let mut watch = SuspensionWatch::new(Clock::with(clocks));
+fn suspension_is_reported_once() {
+    let clocks = SimulatedClocks::new();
+    let mut detector = SuspensionDetector::new(Clock::with(clocks));
     clocks.run(s(60));
     assert_eq!(
-        watch.suspended_for(),
+        detector.suspended_for(),
         None,
-        "a process that stands still is none"
+        "running time alone is no suspension"
     );
     clocks.suspend(s(4));
     clocks.run(s(1));
-    assert_eq!(watch.suspended_for(), Some(s(4)));
-    assert_eq!(watch.suspended_for(), None);
+    assert_eq!(detector.suspended_for(), Some(s(4)));
+    assert_eq!(detector.suspended_for(), None);
 }
 
 #[test]
-fn the_clocks_of_this_machine_go_on() {
+fn system_clocks_advance() {
     let clock = Clock::start();
     let before = clock.now();
     std::thread::sleep(Duration::from_millis(20));
--- a/crates/daemon/tests/logging.rs
+++ b/crates/daemon/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The last lines of a process that ends.
+//! Log lines that are still queued at the end of a process.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::io::Result;
@@ -11,16 +11,16 @@
 use slog::Level;
 use slog::info;
 
-/// Takes a while for each line.
+/// A writer that takes `write_time` for each write.
 #[derive(Clone, Default)]
 struct SlowWriter {
     text: Arc<Mutex<String>>,
-    line_takes: Duration,
+    write_time: Duration,
 }
 
 impl Write for SlowWriter {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
-        std::thread::sleep(self.line_takes);
+        std::thread::sleep(self.write_time);
         let text = String::from_utf8_lossy(bytes);
         self.text.lock().unwrap().push_str(&text);
         Ok(bytes.len())
@@ -31,28 +31,29 @@
     }
 }
 
-/// Once the queue went down with the process: no planned stop told its end.
+/// Guards against losing the lines that are queued when the process ends, among them the line that
+/// logs the end of a planned stop.
 #[test]
 fn queued_lines_are_written_at_the_end() {
     let writer = SlowWriter {
-        line_takes: Duration::from_millis(5),
+        write_time: Duration::from_millis(5),
         ..SlowWriter::default()
     };
-    let (log, last_lines) = logger_to(writer.clone(), "i1", "z1", Level::Info);
+    let (log, pending_lines) = logger_to(writer.clone(), "i1", "z1", Level::Info);
     for number in 0..5 {
         info!(log, "line"; "number" => number);
     }
-    assert!(last_lines.written());
+    assert!(pending_lines.written());
     assert_eq!(writer.text.lock().unwrap().lines().count(), 5);
 }
 
 #[test]
-fn a_blocked_reader_does_not_hold_up_the_end() {
+fn blocked_output_does_not_delay_the_end() {
     let writer = SlowWriter {
-        line_takes: Duration::from_secs(3_600),
+        write_time: Duration::from_secs(3_600),
         ..SlowWriter::default()
     };
-    let (log, last_lines) = logger_to(writer, "i1", "z1", Level::Info);
+    let (log, pending_lines) = logger_to(writer, "i1", "z1", Level::Info);
     info!(log, "line");
-    assert!(!last_lines.written());
+    assert!(!pending_lines.written());
 }
--- a/crates/daemon/tests/whole_lines.rs
+++ b/crates/daemon/tests/whole_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines beside other lines on one output.
+//! Log lines on an output that other code writes to as well.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::io::Result;
@@ -6,13 +6,13 @@
 use std::sync::Arc;
 use std::sync::Mutex;
 
-use iristhread_daemon::WholeLines;
+use iristhread_daemon::WholeLineWriter;
 use slog::Drain;
 use slog::Logger;
 use slog::info;
 use slog::o;
 
-/// Keeps each write by itself.
+/// A writer that records each write separately.
 #[derive(Clone, Default)]
 struct Writes(Arc<Mutex<Vec<Vec<u8>>>>);
 
@@ -27,12 +27,13 @@
     }
 }
 
-/// Once a line of the logger took in the line that tells the addresses of a
-/// process (1 of 11 cases of `configuration` in one run beside load).
+/// Guards against a log line that is written in several pieces, so that another line, such as the
+/// one with the addresses of a process, ends up inside it. Under load this occurred in 1 of 11
+/// cases of the test `configuration`.
 #[test]
 fn a_record_is_one_write() {
     let writes = Writes::default();
-    let json = slog_json::Json::default(WholeLines::new(writes.clone())).ignore_res();
+    let json = slog_json::Json::default(WholeLineWriter::new(writes.clone())).ignore_res();
     let log = Logger::root(Mutex::new(json).ignore_res(), o!("instance" => "i1"));
     for number in 0..3 {
         info!(log, "a line"; "number" => number, "text" => "two\nlines");
