--- a/crates/api/src/completion.rs
+++ b/crates/api/src/completion.rs
@@ -1,9 +1,9 @@
-//! The callers' interface, in the shape that clients of completion APIs speak.
+//! Messages of the callers' interface, in the format of common completion APIs.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Data of the event that closes a whole stream.
+/// Data of the event that ends a complete stream.
 pub const DONE_MARK: &str = "[DONE]";
 
 /// Body of `POST /v1/completions`.
@@ -13,30 +13,30 @@
     pub model: String,
     /// Text to continue.
     pub prompt: String,
-    /// Most tokens to generate; the rest of the context if absent.
+    /// Maximum number of tokens to generate; if absent, the remaining context.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<i64>,
-    /// Whether to answer by server-sent events.
+    /// Whether to stream the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Adapter on top of the model.
+    /// Adapter to apply to the model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// Higher goes first within the workspace.
+    /// Priority within the workspace; a higher value is served first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
-    /// On reconnection: the tokens received, so that the stream can go on even
-    /// when its engine is gone as well.
+    /// On reconnection, the tokens received so far, so that the stream can continue even if its
+    /// engine is gone as well.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub received: Vec<String>,
 }
 
-/// One message of a chat.
+/// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks: `system`, `user` or `assistant`.
+    /// Role of the author: `system`, `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl ChatRequest {
-    /// The same request with the conversation as one prompt.
+    /// Converts the conversation into the prompt of a completion request.
     pub fn into_completion(self) -> CompletionRequest {
         let lines = self
             .messages
@@ -83,17 +83,17 @@
     }
 }
 
-/// A part of a chat answer.
+/// A chat message or a part of one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// Text of this part.
     pub content: String,
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
 }
 
-/// One answer or part of it; a completion fills `text`, a chat `delta` (stream)
-/// or `message` (whole).
+/// One result or a part of it: a completion sets `text`, a chat sets `delta` (streamed) or
+/// `message` (not streamed).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
@@ -101,24 +101,24 @@
     /// Text of a completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
-    /// Part of a chat answer.
+    /// Part of a streamed chat message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delta: Option<Delta>,
-    /// Whole chat answer.
+    /// Complete chat message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub message: Option<Delta>,
-    /// `stop` or `length` on the last part.
+    /// `stop` or `length` in the last part.
     pub finish_reason: Option<String>,
 }
 
-/// Token counts of a whole answer.
+/// Token counts of a complete response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens generated.
     pub completion_tokens: u32,
 }
 
-/// An answer, or one part of a stream.
+/// A complete response or one part of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
     /// Id of the generation.
@@ -127,27 +127,27 @@
     pub object: String,
     /// Model that generated.
     pub model: String,
-    /// Exactly one.
+    /// The result; always one entry.
     pub choices: Vec<Choice>,
-    /// In whole answers only.
+    /// Only set in complete responses.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// One line of `GET /v1/models`.
+/// One entry of [`ModelList`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelCard {
-    /// Name.
+    /// Name of the model.
     pub id: String,
     /// Always `model`.
     pub object: String,
 }
 
-/// Answer of `GET /v1/models`.
+/// Response body of `GET /v1/models`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ModelList {
     /// Always `list`.
     pub object: String,
-    /// The models.
+    /// One entry per model.
     pub data: Vec<ModelCard>,
 }
--- a/crates/api/src/engine_api.rs
+++ b/crates/api/src/engine_api.rs
@@ -1,37 +1,37 @@
-//! The engines' interface.
+//! Messages of the engine interface.
 //!
-//! `POST /generate` starts an attempt (or attaches to it when it is there),
-//! `GET /generate/GENERATION/ATTEMPT?reader=R` attaches from position 0,
-//! `DELETE` of the same cancels it unless a newer reader has attached,
-//! `GET /load` answers a `LoadReport`, `POST /orders` takes a [`FencedOrder`].
+//! `POST /generate` starts an attempt, or attaches to it if it exists;
+//! `GET /generate/GENERATION/ATTEMPT?reader=R` attaches from position 0;
+//! `DELETE` on the same path cancels the attempt unless a newer reader has attached;
+//! `GET /load` returns a `LoadReport`; `POST /orders` accepts a [`FencedOrder`].
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Starts an attempt of a generation.
+/// Body of `POST /generate`, which starts an attempt of a generation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// The generation; the same over all attempts.
+    /// Id of the generation; the same for all attempts.
     pub generation: String,
-    /// Counts attempts from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
-    /// Model.
+    /// Model to generate with.
     pub model: String,
-    /// Adapter, if any.
+    /// Adapter to apply to the model, if any.
     pub adapter: Option<String>,
-    /// Prompt.
+    /// Text to continue.
     pub prompt: String,
-    /// Tokens of earlier attempts; generation goes on after them.
+    /// Tokens of earlier attempts; the generation continues after them.
     pub received: Vec<String>,
-    /// Most tokens in all attempts together.
+    /// Maximum number of tokens over all attempts together.
     pub max_tokens: u32,
-    /// Higher gives way later.
+    /// Priority; a session with a higher value is preempted later.
     pub priority: u8,
-    /// Names who reads; the newest reader alone may cancel.
+    /// Id of the reader; only the newest reader may cancel the attempt.
     pub reader: String,
 }
 
-/// Why an engine ended a generation.
+/// Reason why an engine ended a generation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
@@ -42,7 +42,7 @@
 }
 
 impl EndReason {
-    /// The form of `finish_reason` towards callers.
+    /// Returns the value of `finish_reason` that callers receive.
     pub fn as_str(self) -> &'static str {
         match self {
             EndReason::Stop => "stop",
@@ -55,45 +55,45 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum EngineEvent {
-    /// A token.
+    /// A generated token.
     Token {
-        /// Generation that it belongs to.
+        /// Id of the generation.
         generation: String,
-        /// Attempt that it belongs to.
+        /// Number of the attempt.
         attempt: u32,
-        /// Place in the answer, from 0.
+        /// Position of the token in the generation, from 0.
         position: u32,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The session was displaced; it goes on by itself when memory is free.
+    /// The session was preempted; the engine resumes it when memory is free.
     Preempted {
-        /// Generation that it belongs to.
+        /// Id of the generation.
         generation: String,
-        /// Attempt that it belongs to.
+        /// Number of the attempt.
         attempt: u32,
     },
     /// The generation is complete.
     End {
-        /// Generation that it belongs to.
+        /// Id of the generation.
         generation: String,
-        /// Attempt that it belongs to.
+        /// Number of the attempt.
         attempt: u32,
-        /// Tokens in all attempts together.
+        /// Number of tokens over all attempts together.
         total: u32,
-        /// Why it ended.
+        /// Reason for the end.
         reason: EndReason,
     },
 }
 
-/// An order that states the whole target of an engine.
+/// Body of `POST /orders`: the complete target state of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// An engine that checks refuses a fence lower than one it has seen.
+    /// Fencing token; an engine that checks it refuses a value lower than one it has seen.
     pub fence: u64,
-    /// Models to serve.
+    /// Models that the engine is to serve.
     pub models: Vec<String>,
-    /// Adapters to hold.
+    /// Adapters that the engine is to hold.
     pub adapters: Vec<String>,
 }
 
@@ -101,34 +101,34 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Exit when any session has this many tokens; 0 exits at once.
+    /// Exit the process when any session has this many tokens; 0 exits at once.
     pub die_at_token: Option<u32>,
-    /// Exit once a session with this prompt runs.
+    /// Exit the process when a session with this prompt runs.
     pub die_under_prompt: Option<String>,
-    /// Generate nothing while connections stay open.
+    /// Stop generating tokens but keep connections open.
     pub stall: bool,
-    /// Factor on the time of a step.
+    /// Factor by which the duration of a step is multiplied.
     pub slow_factor: u32,
     /// Refuse new sessions with 503.
     pub refuse: bool,
-    /// The time to come back that such a refusal names.
+    /// `Retry-After` header of such a refusal.
     pub retry_after: Option<String>,
-    /// Say in the answers to new sessions that the engine is leaving; take them.
+    /// State in responses to new sessions that the engine is draining, but accept them.
     pub say_leaving: bool,
-    /// The requests a second that the answers to new sessions name as the limit.
+    /// Limit in requests per second that responses to new sessions declare.
     pub say_limit: Option<String>,
     /// Send each token twice.
     pub duplicate: bool,
-    /// Send tokens of a foreign generation in between.
+    /// Interleave tokens of another generation.
     pub cross: bool,
     /// Close each connection after this many tokens.
     pub reset_after: Option<u32>,
-    /// Close connections instead of sending the end mark.
+    /// Close connections instead of sending the end event.
     pub omit_end: bool,
     /// Skip every token whose position is a multiple of this.
     pub skip_every: Option<u32>,
-    /// Repeat the last load report for ever.
+    /// Keep returning the last load report.
     pub freeze_reports: bool,
-    /// Say in load reports that the engine is leaving.
+    /// State in load reports that the engine is draining.
     pub leaving: bool,
 }
--- a/crates/api/src/headers.rs
+++ b/crates/api/src/headers.rs
@@ -1,36 +1,37 @@
-//! Names of the headers that are not standard ones, and what they say.
+//! Names of the headers that callers and backend servers exchange, and the parser of server
+//! notices.
 
 use http::HeaderMap;
 use http::StatusCode;
 use http::header;
 use iristhread_core::ServerNotice;
 
-/// One of `not_run`, `ran`, `unknown`.
+/// Whether the request ran: `not_run`, `ran` or `unknown`.
 pub const OUTCOME_HEADER: &str = "iristhread-outcome";
 
-/// Id of the request, in answers; also what `iristhread explain` takes.
+/// Request id in responses, as `iristhread explain` takes it.
 pub const REQUEST_ID_HEADER: &str = "iristhread-request-id";
 
-/// A ticket for a call that may not be repeated.
+/// Ticket for a service call that must not be repeated.
 pub const TICKET_HEADER: &str = "iristhread-ticket";
 
-/// Milliseconds that the caller still waits; shrinks at each hop.
+/// Milliseconds left until the deadline of the caller; decreases at each hop.
 pub const DEADLINE_HEADER: &str = "iristhread-deadline-ms";
 
-/// 1 in the answers of an engine or plain service that leaves.
+/// `1` in the responses of an engine or plain service that is draining.
 pub const LEAVING_HEADER: &str = "iristhread-leaving";
 
-/// Requests a second that an engine or plain service takes from all instances together.
+/// Requests per second that an engine or plain service accepts from all instances together.
 pub const LIMIT_HEADER: &str = "iristhread-limit";
 
-/// The idempotency key sent to a plain service (IETF draft of that name).
+/// Idempotency key sent to a plain service (IETF draft "The Idempotency-Key HTTP Header Field").
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// The cursor that a caller holds (HTML standard, server-sent events).
+/// Cursor of a reconnecting caller (HTML standard, server-sent events).
 pub const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
-/// What the head of an answer says of its engine or plain service.
-pub fn notice_of(status: StatusCode, headers: &HeaderMap) -> ServerNotice {
+/// Reads the notice of an engine or plain service from the status and headers of its response.
+pub fn parse_server_notice(status: StatusCode, headers: &HeaderMap) -> ServerNotice {
     let text = |name: &str| {
         let value = headers.get(name);
         value.map(|value| value.to_str().unwrap_or_default())
--- a/crates/api/src/http_client.rs
+++ b/crates/api/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP client for engines, services, platform and the command-line tool.
+//! HTTP client for calls to engines, plain services, the platform and instances.
 
 use std::error::Error as _;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Most bytes read of one answer that is not a stream.
+/// Maximum size in bytes of a response body that is not a stream.
 pub type BodyLimit = usize;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -34,62 +34,62 @@
 /// Why a request failed.
 #[derive(Debug, Error)]
 pub enum HttpClientError {
-    /// No connection: no byte of the request was written.
+    /// The connection could not be opened: no byte of the request was written.
     #[error("can't connect to {uri}: {cause}")]
     Connect {
-        /// Target.
+        /// URI of the request.
         uri: String,
-        /// What the system said.
+        /// Error of the operating system or the HTTP library.
         cause: String,
     },
     /// The connection broke after the request may have been written.
     #[error("the connection to {uri} broke: {cause}")]
     Broken {
-        /// Target.
+        /// URI of the request.
         uri: String,
-        /// What the system said.
+        /// Error of the operating system or the HTTP library.
         cause: String,
     },
-    /// The answer is larger than what is read.
+    /// The response body exceeds the limit of the client.
     #[error("the answer of {uri} has more than {limit_bytes} bytes")]
     TooLarge {
-        /// Target.
+        /// URI of the request.
         uri: String,
-        /// What is read at most.
+        /// Limit in bytes.
         limit_bytes: usize,
     },
-    /// The answer is not what the interface promises.
+    /// The response body does not have the expected form.
     #[error("the answer of {uri} can't be read: {cause}")]
     Unreadable {
-        /// Target.
+        /// URI of the request.
         uri: String,
-        /// What is wrong.
+        /// Description of the fault.
         cause: String,
     },
-    /// The server refused. The body is not shown: errors are logged, and it may
-    /// hold a prompt or an answer.
+    /// The server returned an error status. The message omits the body: errors are logged, and
+    /// the body may hold a prompt or generated text.
     #[error("{uri} answered {status}")]
     Status {
-        /// Target.
+        /// URI of the request.
         uri: String,
-        /// Its status.
+        /// Status of the response.
         status: StatusCode,
-        /// Its headers.
+        /// Headers of the response.
         headers: Box<http::HeaderMap>,
-        /// Its body.
+        /// Body of the response.
         body: String,
     },
     /// The request can't be built.
     #[error("the request to {uri} can't be built: {cause}")]
     Request {
-        /// Target.
+        /// URI of the request.
         uri: String,
-        /// What is wrong.
+        /// Description of the fault.
         cause: String,
     },
 }
 
-/// A whole answer.
+/// A response with its complete body.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// Status.
@@ -100,10 +100,10 @@
     pub body: Bytes,
 }
 
-/// Server-sent events of one answer.
+/// Server-sent events of one response.
 pub type EventStream = BoxStream<'static, Result<Event, HttpClientError>>;
 
-/// Sends requests; cheap to clone.
+/// Sends HTTP requests; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -111,7 +111,7 @@
 }
 
 impl HttpClient {
-    /// A client that keeps connections for the next request.
+    /// Creates a client that reuses idle connections.
     pub fn pooled(limit: BodyLimit) -> Self {
         HttpClient {
             client: Client::builder(TokioExecutor::new()).build(connector(CONNECT_TIMEOUT)),
@@ -119,26 +119,25 @@
         }
     }
 
-    /// The same, for connections that have rested no longer than `rest`: one that rests may
-    /// fall silent unnoticed, and the next request would wait on it in vain.
-    pub fn resting(limit: BodyLimit, rest: Duration) -> Self {
+    /// Creates a client that reuses connections only within `idle_timeout`. An idle connection
+    /// may stall unnoticed, and the next request on it would get no response.
+    pub fn pooled_with_idle_timeout(limit: BodyLimit, idle_timeout: Duration) -> Self {
         let mut builder = Client::builder(TokioExecutor::new());
-        builder.pool_idle_timeout(rest);
+        builder.pool_idle_timeout(idle_timeout);
         HttpClient {
             client: builder.build(connector(CONNECT_TIMEOUT)),
             limit,
         }
     }
 
-    /// A client that opens a connection per request and never sends one again
-    /// by itself, so that [`HttpClientError::Connect`] proves that no byte of
-    /// the request was written.
+    /// Creates a client that opens a connection per request and never retries by itself, so that
+    /// [`HttpClientError::Connect`] proves that no byte of the request was written.
     pub fn unpooled(limit: BodyLimit) -> Self {
-        Self::impatient(limit, CONNECT_TIMEOUT)
+        Self::unpooled_with_connect_timeout(limit, CONNECT_TIMEOUT)
     }
 
-    /// The same with another longest wait for a connection.
-    pub fn impatient(limit: BodyLimit, connect_timeout: Duration) -> Self {
+    /// Creates a client like [`HttpClient::unpooled`] with another connect timeout.
+    pub fn unpooled_with_connect_timeout(limit: BodyLimit, connect_timeout: Duration) -> Self {
         let mut builder = Client::builder(TokioExecutor::new());
         builder.pool_max_idle_per_host(0);
         builder.retry_canceled_requests(false);
@@ -148,7 +147,7 @@
         }
     }
 
-    /// Sends a request and returns the answer with its body still to come.
+    /// Sends a request and returns the response before its body is read.
     ///
     /// # Errors
     ///
@@ -159,7 +158,7 @@
     ) -> Result<Response<Incoming>, HttpClientError> {
         let uri = request.uri().to_string();
         self.client.request(request).await.map_err(|error| {
-            let cause = describe(&error);
+            let cause = error_chain(&error);
             if error.is_connect() {
                 HttpClientError::Connect { uri, cause }
             } else {
@@ -168,11 +167,11 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// [`HttpClientError`]; a refusal by status is no error here.
+    /// [`HttpClientError`]; an error status counts as a response, not as an error.
     pub async fn fetch(&self, request: Request<Full<Bytes>>) -> Result<Reply, HttpClientError> {
         let uri = request.uri().to_string();
         let (parts, body) = self.send(request).await?.into_parts();
@@ -196,11 +195,11 @@
         })
     }
 
-    /// Sends JSON and reads JSON; `None` for 304 and 204.
+    /// Sends a request and decodes the JSON response; returns `None` for 304 and 204.
     ///
     /// # Errors
     ///
-    /// [`HttpClientError`], a status of 400 and more included.
+    /// [`HttpClientError`], also for any status that is not a success.
     pub async fn json<Answer: DeserializeOwned>(
         &self,
         request: Request<Full<Bytes>>,
@@ -231,12 +230,11 @@
             })
     }
 
-    /// Sends a request and reads its server-sent events; the headers of the
-    /// answer come along.
+    /// Sends a request and returns the response headers with a stream of its server-sent events.
     ///
     /// # Errors
     ///
-    /// [`HttpClientError`], a status of 400 and more included.
+    /// [`HttpClientError`], also for any status that is not a success.
     pub async fn events(
         &self,
         request: Request<Full<Bytes>>,
@@ -258,23 +256,23 @@
                 body,
             });
         }
-        Ok((headers, events_of(response.into_body(), uri).boxed()))
+        Ok((headers, decode_events(response.into_body(), uri).boxed()))
     }
 }
 
 impl HttpClient {
-    /// A request with a JSON body; a bearer key is added when given.
+    /// Builds a request with a JSON body, and with a bearer key if `key` is given.
     ///
     /// # Errors
     ///
-    /// [`HttpClientError::Request`] when the address or the body is unusable.
+    /// [`HttpClientError::Request`] if the URI, the key or the body is invalid.
     pub fn request<Body: Serialize>(
         method: Method,
         uri: &str,
         key: Option<&str>,
         body: Option<&Body>,
     ) -> Result<Request<Full<Bytes>>, HttpClientError> {
-        let unusable = |cause: String| HttpClientError::Request {
+        let invalid = |cause: String| HttpClientError::Request {
             uri: uri.to_owned(),
             cause,
         };
@@ -285,20 +283,20 @@
         let bytes = match body {
             Some(body) => {
                 builder = builder.header(header::CONTENT_TYPE, "application/json");
-                serde_json::to_vec(body).map_err(|error| unusable(error.to_string()))?
+                serde_json::to_vec(body).map_err(|error| invalid(error.to_string()))?
             }
             None => Vec::new(),
         };
         builder
             .body(Full::new(Bytes::from(bytes)))
-            .map_err(|error| unusable(error.to_string()))
+            .map_err(|error| invalid(error.to_string()))
     }
 
-    /// A `GET` without a body.
+    /// Builds a `GET` request without a body.
     ///
     /// # Errors
     ///
-    /// [`HttpClientError::Request`] when the address is unusable.
+    /// [`HttpClientError::Request`] if the URI is invalid.
     pub fn get(uri: &str) -> Result<Request<Full<Bytes>>, HttpClientError> {
         Self::request::<()>(Method::GET, uri, None, None)
     }
@@ -311,7 +309,7 @@
     connector
 }
 
-fn events_of(
+fn decode_events(
     body: Incoming,
     uri: String,
 ) -> impl Stream<Item = Result<Event, HttpClientError>> + Send {
@@ -324,7 +322,7 @@
     })
 }
 
-fn describe(error: &hyper_util::client::legacy::Error) -> String {
+fn error_chain(error: &hyper_util::client::legacy::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,5 +1,5 @@
-//! Types of the interfaces: callers, engines, platform and operators, with one
-//! HTTP client for all of them.
+//! Message types of the interfaces to callers, engines, plain services, the platform and
+//! operators, and the HTTP client that all of them share.
 
 mod completion;
 mod engine_api;
@@ -38,7 +38,7 @@
 pub use headers::OUTCOME_HEADER;
 pub use headers::REQUEST_ID_HEADER;
 pub use headers::TICKET_HEADER;
-pub use headers::notice_of;
+pub use headers::parse_server_notice;
 pub use http_client::BodyLimit;
 pub use http_client::EventStream;
 pub use http_client::HttpClient;
--- a/crates/api/src/platform_api.rs
+++ b/crates/api/src/platform_api.rs
@@ -1,28 +1,28 @@
-//! The platform's interface: configuration and instance list, read only.
+//! Messages of the platform interface: the configuration and the instance list, both read-only.
 //!
-//! `GET /config?after=VERSION&wait_ms=N` answers when a version other than
-//! `after` is there, or 304 when the wait is over; `GET /instances` likewise.
+//! `GET /config?after=VERSION&wait_ms=N` is a long poll: it returns the configuration once its
+//! version differs from `after`, or 304 after `wait_ms`. `GET /instances` works the same way.
 
 use iristhread_core::ConfigVersion;
 use iristhread_core::InstanceEntry;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A version of the configuration as the platform serves it.
+/// Response body of `GET /config`: one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigReply {
-    /// Grows with each publication.
+    /// Version; increases with each publication.
     pub version: ConfigVersion,
-    /// The document; unchecked.
+    /// Configuration document, not validated yet.
     pub document: serde_json::Value,
 }
 
-/// The instance list as the platform serves it.
+/// Response body of `GET /instances`: the instance list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct InstancesReply {
-    /// Grows with each change.
+    /// Version; increases with each change.
     pub version: u64,
-    /// The list.
+    /// Entries of the list.
     pub entries: Vec<InstanceEntry>,
 }
 
@@ -30,19 +30,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Answer every read with 503.
+    /// Refuse every read with 503.
     pub outage: bool,
     /// Serve this older version instead of the newest.
     pub stale_version: Option<ConfigVersion>,
 }
 
-/// Reads counted by the platform stand-in.
+/// Read counts of the platform stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReadCount {
-    /// Reads and watches since it started.
+    /// Reads and watches since the stand-in started.
     pub reads: u64,
-    /// Those refused because the budget of a second was spent.
+    /// Reads refused because the budget of the current second was spent.
     pub refused: u64,
-    /// Watches that wait now.
+    /// Watches that are waiting now.
     pub waiting: u64,
 }
--- a/crates/api/src/resource.rs
+++ b/crates/api/src/resource.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: resources with declared and observed state.
+//! Messages of the operators' interface: resources with their declared and observed state.
 
 use std::str::FromStr;
 
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Kinds of resources.
+/// Kind of a resource.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResourceKind {
@@ -21,14 +21,14 @@
     EngineRoles,
     /// Workspaces.
     Workspaces,
-    /// Engines and service runners.
+    /// Backend servers: engines and service runners.
     BackendServers,
-    /// Entry instances.
+    /// Instances.
     Instances,
 }
 
 impl ResourceKind {
-    /// Every kind with its name in paths.
+    /// All kinds with their names in URL paths.
     pub const ALL: [(ResourceKind, &'static str); 7] = [
         (ResourceKind::Models, "models"),
         (ResourceKind::Adapters, "adapters"),
@@ -40,7 +40,7 @@
     ];
 }
 
-/// The name is no kind of resource.
+/// Error for a name that is not a kind of resource.
 #[derive(Debug, Error)]
 #[error(
     "{0:?} is no kind of resource; use models, adapters, versions, engine-roles, workspaces, backend-servers or instances"
@@ -58,46 +58,46 @@
     }
 }
 
-/// One resource.
+/// A resource with its declared and observed state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Resource {
-    /// Its name.
+    /// Name of the resource.
     pub name: String,
-    /// As the configuration in force declares it.
+    /// State that the configuration in force declares.
     pub declared: serde_json::Value,
-    /// As this instance sees it.
+    /// State that this instance observes.
     pub observed: serde_json::Value,
 }
 
-/// All resources of a kind.
+/// The resources of one kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResourceList {
-    /// Version to watch from: grows with each change that this instance sees.
+    /// Version to start a watch from; increases with each change that this instance observes.
     pub resource_version: u64,
     /// Version of the configuration in force.
     pub config_version: ConfigVersion,
-    /// Instance that answers.
+    /// Instance that returned the list.
     pub instance: String,
     /// The resources.
     pub items: Vec<Resource>,
 }
 
-/// One change in a watch.
+/// One change event of a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum ResourceEvent {
-    /// The resource is new or has changed.
+    /// The resource was added or changed.
     Applied {
         /// Version after the change.
         resource_version: u64,
-        /// The resource.
+        /// State of the resource after the change.
         resource: Resource,
     },
-    /// The resource is gone.
+    /// The resource was removed.
     Deleted {
         /// Version after the change.
         resource_version: u64,
-        /// Its name.
+        /// Name of the resource.
         name: String,
     },
 }
--- a/crates/api/src/service_api.rs
+++ b/crates/api/src/service_api.rs
@@ -1,27 +1,27 @@
-//! What the plain service stand-in answers and counts.
+//! Messages of the plain service stand-in: responses, execution counts and faults.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Answer of one execution.
+/// Response of one execution.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// Unique number of the execution in this runner.
+    /// Number of the execution, unique within this runner.
     pub execution: u64,
-    /// Idempotency key that came with the call.
+    /// Idempotency key of the call.
     pub key: String,
-    /// Body of the call, so that a foreign answer can be told.
+    /// Body of the call, so that a caller can detect the response to another call.
     pub echo: String,
 }
 
-/// Executions by idempotency key.
+/// Execution counts by idempotency key and by body.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Executions {
-    /// How often each key was executed.
+    /// Executions per idempotency key.
     pub by_key: BTreeMap<String, u64>,
-    /// How often each body was executed.
+    /// Executions per body.
     pub by_body: BTreeMap<String, u64>,
 }
 
@@ -29,20 +29,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Close the connection before executing, this many times.
+    /// Number of calls whose connection is closed before the execution.
     pub drop_before: u32,
-    /// Execute, then close the connection without an answer, this many times.
+    /// Number of calls that are executed and whose connection is then closed without a response.
     pub drop_after: u32,
-    /// Exit while executing.
+    /// Exit the process during an execution.
     pub die: bool,
-    /// Time that an execution takes, milliseconds.
+    /// Duration of an execution in milliseconds.
     pub delay_ms: u64,
     /// Refuse with 503 before executing.
     pub refuse: bool,
-    /// The time to come back that such a refusal names.
+    /// `Retry-After` header of such a refusal.
     pub retry_after: Option<String>,
-    /// Say in all answers that the runner is leaving.
+    /// State in all responses that the runner is draining.
     pub say_leaving: bool,
-    /// The requests a second that all answers name as the limit.
+    /// Limit in requests per second that all responses declare.
     pub say_limit: Option<String>,
 }
--- a/crates/cli/src/caller.rs
+++ b/crates/cli/src/caller.rs
@@ -25,13 +25,13 @@
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Connections in a row that bring no new token before the tool gives up.
-const MAX_IDLE_TRIES: u32 = 8;
+const MAX_ATTEMPTS_WITHOUT_PROGRESS: u32 = 8;
 
 /// Pause between two tries.
 const PAUSE: Duration = Duration::from_millis(250);
 
 /// Tries of a call with the same ticket.
-const MAX_CALL_TRIES: usize = 3;
+const MAX_CALL_ATTEMPTS: usize = 3;
 
 /// A whole stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
@@ -48,7 +48,7 @@
 
 /// One call of a service.
 #[derive(Clone, Debug)]
-pub struct CallOrder {
+pub struct CallRequest {
     /// Service.
     pub service: String,
     /// Path below it, without the leading slash.
@@ -112,7 +112,7 @@
         mut on_token: impl FnMut(&str),
     ) -> Result<CompletionOutcome, CliError> {
         let mut received = Received::default();
-        let mut idle_tries = 0;
+        let mut attempts_without_progress = 0;
         let mut cause = String::new();
         for server in self.target.servers.iter().cycle() {
             let before = received.outcome.tokens.len();
@@ -120,7 +120,7 @@
             let tokens = received.outcome.tokens.clone();
             let uri = format!("{server}{path}");
             match self
-                .one_connection(&uri, &body(tokens), &mut received, &mut on_token)
+                .read_connection(&uri, &body(tokens), &mut received, &mut on_token)
                 .await
             {
                 Ending::Done => return Ok(received.outcome),
@@ -128,12 +128,12 @@
                 Ending::Refused(error) => cause = error.to_string(),
                 Ending::Broken(text) => cause = text,
             }
-            idle_tries = if received.outcome.tokens.len() > before {
+            attempts_without_progress = if received.outcome.tokens.len() > before {
                 0
             } else {
-                idle_tries + 1
+                attempts_without_progress + 1
             };
-            if idle_tries >= MAX_IDLE_TRIES {
+            if attempts_without_progress >= MAX_ATTEMPTS_WITHOUT_PROGRESS {
                 break;
             }
             tokio::time::sleep(PAUSE).await;
@@ -142,7 +142,7 @@
         Err(CliError::Incomplete { received, cause })
     }
 
-    async fn one_connection<Body: Serialize>(
+    async fn read_connection<Body: Serialize>(
         &self,
         uri: &str,
         body: &Body,
@@ -194,24 +194,24 @@
     /// # Errors
     ///
     /// [`CliError`] with the outcome.
-    pub async fn call(&self, order: &CallOrder) -> Result<Reply, CliError> {
+    pub async fn call(&self, order: &CallRequest) -> Result<Reply, CliError> {
         let mut ticket: Option<String> = None;
         let mut last = CliError::Unreachable("no server given".to_owned());
         let servers = self.target.servers.iter().cycle();
-        for server in servers.take(self.target.servers.len() * MAX_CALL_TRIES) {
-            let reply = match self.one_call(server, order, ticket.as_deref()).await {
+        for server in servers.take(self.target.servers.len() * MAX_CALL_ATTEMPTS) {
+            let reply = match self.send_call(server, order, ticket.as_deref()).await {
                 Ok(reply) => reply,
                 Err(error) => {
-                    last = lost_answer(error, ticket.is_some());
+                    last = to_cli_error(error, ticket.is_some());
                     tokio::time::sleep(PAUSE).await;
                     continue;
                 }
             };
             if reply.status == StatusCode::PRECONDITION_REQUIRED {
                 ticket = header(&reply, TICKET_HEADER);
-                match self.one_call(server, order, ticket.as_deref()).await {
+                match self.send_call(server, order, ticket.as_deref()).await {
                     Ok(reply) => return checked(reply),
-                    Err(error) => last = lost_answer(error, true),
+                    Err(error) => last = to_cli_error(error, true),
                 }
                 continue;
             }
@@ -220,10 +220,10 @@
         Err(last)
     }
 
-    async fn one_call(
+    async fn send_call(
         &self,
         server: &str,
-        order: &CallOrder,
+        order: &CallRequest,
         ticket: Option<&str>,
     ) -> Result<Reply, HttpClientError> {
         let uri = format!("{server}/v1/services/{}/{}", order.service, order.path);
@@ -271,7 +271,7 @@
     }
 }
 
-fn lost_answer(error: HttpClientError, had_ticket: bool) -> CliError {
+fn to_cli_error(error: HttpClientError, had_ticket: bool) -> CliError {
     if had_ticket {
         let message = error.to_string();
         let outcome = Outcome::Unknown;
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -5,11 +5,11 @@
 use iristhread_core::TimelineRecord;
 
 /// One line of the time line.
-pub fn line_of(record: &TimelineRecord) -> String {
+pub fn format_record(record: &TimelineRecord) -> String {
     let time = record.time;
     let request = record.request.as_deref().unwrap_or("-");
     let instance = &record.instance;
-    let text = text_of(&record.event);
+    let text = describe_event(&record.event);
     format!(
         "{}.{:03} {instance} {request} {text}",
         time.wall_ms, time.count
@@ -25,16 +25,18 @@
     let mut story = String::new();
     for record in records {
         let after_ms = record.time.wall_ms.saturating_sub(start_ms);
-        let text = text_of(&record.event);
+        let text = describe_event(&record.event);
         story += &format!("+{after_ms} ms  {}: {text}\n", record.instance);
         if let TimelineEvent::Placed { candidates, .. } = &record.event {
-            candidates.iter().for_each(|c| story += &candidate_line(c));
+            candidates
+                .iter()
+                .for_each(|c| story += &format_candidate(c));
         }
     }
     story
 }
 
-fn candidate_line(candidate: &Candidate) -> String {
+fn format_candidate(candidate: &Candidate) -> String {
     let Candidate {
         engine,
         score,
@@ -46,7 +48,7 @@
     }
 }
 
-fn text_of(event: &TimelineEvent) -> String {
+fn describe_event(event: &TimelineEvent) -> String {
     match event {
         TimelineEvent::Submitted {
             workspace,
--- a/crates/cli/src/log_commands.rs
+++ b/crates/cli/src/log_commands.rs
@@ -7,10 +7,10 @@
 use std::path::PathBuf;
 
 use iristhread_cli::CliError;
-use iristhread_cli::LogStory;
+use iristhread_cli::LogTrace;
 use iristhread_cli::Losses;
 use iristhread_cli::Objectives;
-use iristhread_cli::loss_text;
+use iristhread_cli::format_losses;
 use iristhread_cli::read_lines;
 
 use crate::flags;
@@ -19,7 +19,7 @@
 
 /// Prints the story of a request.
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<(), CliError> {
-    let mut story = LogStory::of(request);
+    let mut story = LogTrace::of(request);
     for file in files {
         let read = story.read(open(file)?);
         read.map_err(|error| unreadable(&file.display().to_string(), &error))?;
@@ -37,7 +37,7 @@
 
 /// Prints what the instances came to believe of the directory, its servers and zones.
 pub fn beliefs(files: &[PathBuf]) -> Result<(), CliError> {
-    let mut story = LogStory::of_beliefs();
+    let mut story = LogTrace::of_state_changes();
     for file in files {
         let read = story.read(open(file)?);
         read.map_err(|error| unreadable(&file.display().to_string(), &error))?;
@@ -47,8 +47,11 @@
         return Err(CliError::Usage(message.to_owned()));
     };
     print!("{text}");
-    if story.not_kept > 0 {
-        eprintln!("{} lines are more than are kept in memory", story.not_kept);
+    if story.dropped_lines > 0 {
+        eprintln!(
+            "{} lines are more than are kept in memory",
+            story.dropped_lines
+        );
     }
     Ok(())
 }
@@ -57,24 +60,24 @@
 pub fn losses(flags: &flags::Losses) -> Result<(), CliError> {
     let mut losses = Losses::default();
     if flags.logs.is_empty() {
-        take_all(&mut losses, STANDARD_INPUT, std::io::stdin().lock())?;
+        read_all(&mut losses, STANDARD_INPUT, std::io::stdin().lock())?;
     }
     for file in &flags.logs {
-        take_all(&mut losses, &file.display().to_string(), open(file)?)?;
+        read_all(&mut losses, &file.display().to_string(), open(file)?)?;
     }
     let objectives = Objectives {
         first_event_ms: flags.first_event_ms,
         pause_ms: flags.pause_ms,
     };
-    print!("{}", loss_text(&losses.table(objectives)));
-    if losses.not_kept > 0 {
-        let count = losses.not_kept;
+    print!("{}", format_losses(&losses.table(objectives)));
+    if losses.dropped_lines > 0 {
+        let count = losses.dropped_lines;
         eprintln!("{count} lines are about more requests than are kept in memory");
     }
     Ok(())
 }
 
-fn take_all(losses: &mut Losses, name: &str, source: impl BufRead) -> Result<(), CliError> {
+fn read_all(losses: &mut Losses, name: &str, source: impl BufRead) -> Result<(), CliError> {
     let read = read_lines(source, |line| losses.take(line));
     let read = read.map_err(|error| unreadable(name, &error))?;
     if read.taken == 0 {
--- a/crates/cli/src/log_story.rs
+++ b/crates/cli/src/log_trace.rs
@@ -41,7 +41,7 @@
 ];
 
 /// Most lines that are kept: some hundred bytes each.
-const MOST_STEPS: usize = 200_000;
+const MAX_TRACE_ENTRIES: usize = 200_000;
 
 /// What a story is about.
 #[derive(Debug)]
@@ -52,14 +52,14 @@
 
 impl Topic {
     /// Whether a line may be about it; most are not, and needn't be parsed.
-    fn may_be_in(&self, line: &str) -> bool {
+    fn may_match(&self, line: &str) -> bool {
         match self {
             Topic::Request(request) => line.contains(request),
             Topic::Beliefs => BELIEFS.iter().any(|message| line.contains(message)),
         }
     }
 
-    fn is_of(&self, message: &str, request: Option<&str>) -> bool {
+    fn matches_topic(&self, message: &str, request: Option<&str>) -> bool {
         match self {
             Topic::Request(id) => request == Some(id),
             Topic::Beliefs => BELIEFS.contains(&message),
@@ -77,29 +77,29 @@
 
 /// The lines about one topic, from all instances, in any order.
 #[derive(Debug)]
-pub struct LogStory {
+pub struct LogTrace {
     topic: Topic,
     steps: Vec<Step>,
     /// Lines about it that were more than are kept.
-    pub not_kept: u64,
+    pub dropped_lines: u64,
 }
 
-impl LogStory {
+impl LogTrace {
     /// Knows nothing yet about a request.
     pub fn of(request: &str) -> Self {
-        LogStory::about(Topic::Request(request.to_owned()))
+        LogTrace::about(Topic::Request(request.to_owned()))
     }
 
     /// Knows nothing yet about what the instances believe.
-    pub fn of_beliefs() -> Self {
-        LogStory::about(Topic::Beliefs)
+    pub fn of_state_changes() -> Self {
+        LogTrace::about(Topic::Beliefs)
     }
 
     fn about(topic: Topic) -> Self {
-        LogStory {
+        LogTrace {
             topic,
             steps: Vec::new(),
-            not_kept: 0,
+            dropped_lines: 0,
         }
     }
 
@@ -112,8 +112,8 @@
         let mut bytes = Vec::new();
         while source.read_until(b'\n', &mut bytes)? > 0 {
             let line = String::from_utf8_lossy(&bytes);
-            if self.topic.may_be_in(&line)
-                && let Some(step) = step_of(&line, &self.topic)
+            if self.topic.may_match(&line)
+                && let Some(step) = parse_entry(&line, &self.topic)
             {
                 self.keep(step);
             }
@@ -123,9 +123,9 @@
     }
 
     fn keep(&mut self, step: Step) {
-        match self.steps.len() < MOST_STEPS {
+        match self.steps.len() < MAX_TRACE_ENTRIES {
             true => self.steps.push(step),
-            false => self.not_kept += 1,
+            false => self.dropped_lines += 1,
         }
     }
 
@@ -141,12 +141,12 @@
     }
 }
 
-fn step_of(line: &str, topic: &Topic) -> Option<Step> {
+fn parse_entry(line: &str, topic: &Topic) -> Option<Step> {
     let json = &line[line.find('{')?..];
     let fields: Map<String, Value> = serde_json::from_str(json.trim_end()).ok()?;
     let text = |name: &str| fields.get(name).and_then(Value::as_str);
     let message = text("msg")?;
-    if !topic.is_of(message, text("request")) {
+    if !topic.matches_topic(message, text("request")) {
         return None;
     }
     let at = OffsetDateTime::parse(text("ts")?, &Rfc3339).ok()?;
@@ -154,7 +154,7 @@
         .iter()
         .filter(|(name, value)| !COMMON_FIELDS.contains(&name.as_str()) && !value.is_null());
     let shown: Vec<String> = shown
-        .map(|(name, value)| shown_field(name, value))
+        .map(|(name, value)| format_field(name, value))
         .collect();
     Some(Step {
         at,
@@ -166,7 +166,7 @@
     })
 }
 
-fn shown_field(name: &str, value: &Value) -> String {
+fn format_field(name: &str, value: &Value) -> String {
     match value {
         Value::String(text) => format!("{name} {text}"),
         other => format!("{name} {other}"),
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -9,7 +9,7 @@
 const MAX_REQUESTS: usize = 2_000_000;
 
 /// Unread prompts before a session from which on they are counted as one.
-const MANY_AHEAD: usize = 4;
+const MAX_COUNTED_AHEAD: usize = 4;
 
 /// What is in time.
 #[derive(Clone, Copy, Debug)]
@@ -21,19 +21,19 @@
 }
 
 #[derive(Debug, Default)]
-struct Story {
+struct RequestTrace {
     /// Where it was sent first, and when.
     chosen: Option<(String, i64)>,
-    began_at_ms: Option<i64>,
+    first_event_at_ms: Option<i64>,
     end: Option<GatewayLine>,
 }
 
 /// Collects the lines of all instances in any order.
 #[derive(Debug, Default)]
 pub struct Losses {
-    stories: HashMap<String, Story>,
+    stories: HashMap<String, RequestTrace>,
     /// Lines about requests beyond those that are kept.
-    pub not_kept: u64,
+    pub dropped_lines: u64,
 }
 
 /// Requests by route and cause.
@@ -46,7 +46,7 @@
             return;
         };
         if self.stories.len() >= MAX_REQUESTS && !self.stories.contains_key(&request) {
-            self.not_kept += 1;
+            self.dropped_lines += 1;
             return;
         }
         let story = self.stories.entry(request).or_default();
@@ -56,7 +56,7 @@
                 story.chosen = line.chosen().map(|server| (server, at_ms));
             }
             "stream ended" => {
-                story.began_at_ms = began_at(&line, story);
+                story.first_event_at_ms = first_event_at(&line, story);
                 story.end = Some(line);
             }
             "stream ended before it began" | "call ended" | "request refused" => {
@@ -85,7 +85,8 @@
     fn waits_by_server(&self) -> HashMap<&str, Vec<(i64, i64)>> {
         let mut waits: HashMap<&str, Vec<(i64, i64)>> = HashMap::new();
         for story in self.stories.values() {
-            if let (Some((server, from_ms)), Some(to_ms)) = (&story.chosen, story.began_at_ms) {
+            if let (Some((server, from_ms)), Some(to_ms)) = (&story.chosen, story.first_event_at_ms)
+            {
                 waits.entry(server).or_default().push((*from_ms, to_ms));
             }
         }
@@ -93,14 +94,14 @@
     }
 }
 
-fn began_at(end: &GatewayLine, story: &Story) -> Option<i64> {
+fn first_event_at(end: &GatewayLine, story: &RequestTrace) -> Option<i64> {
     let (_, chosen_ms) = story.chosen.as_ref()?;
     let waited_ms = i64::try_from(end.first_event_ms?).ok()?;
     Some(chosen_ms + waited_ms)
 }
 
 fn cause(
-    story: &Story,
+    story: &RequestTrace,
     end: &GatewayLine,
     objectives: Objectives,
     waits: &HashMap<&str, Vec<(i64, i64)>>,
@@ -125,7 +126,7 @@
 }
 
 fn stream_cause(
-    story: &Story,
+    story: &RequestTrace,
     end: &GatewayLine,
     objectives: Objectives,
     waits: &HashMap<&str, Vec<(i64, i64)>>,
@@ -152,20 +153,20 @@
 }
 
 /// Streams that waited at the same server when this one was sent there.
-fn ahead(story: &Story, waits: &HashMap<&str, Vec<(i64, i64)>>) -> String {
+fn ahead(story: &RequestTrace, waits: &HashMap<&str, Vec<(i64, i64)>>) -> String {
     let Some((server, at_ms)) = &story.chosen else {
         return "unknown".to_owned();
     };
     let waiting = waits.get(server.as_str()).into_iter().flatten();
     let before = waiting.filter(|(from_ms, to_ms)| from_ms < at_ms && at_ms < to_ms);
     match before.count() {
-        count if count >= MANY_AHEAD => format!("{MANY_AHEAD} or more"),
+        count if count >= MAX_COUNTED_AHEAD => format!("{MAX_COUNTED_AHEAD} or more"),
         count => count.to_string(),
     }
 }
 
 /// The table as text, the most frequent causes of each route first.
-pub fn loss_text(table: &LossTable) -> String {
+pub fn format_losses(table: &LossTable) -> String {
     let mut sums: BTreeMap<&str, u64> = BTreeMap::new();
     for ((route, _), count) in table {
         *sums.entry(route).or_default() += count;
--- a/crates/cli/src/tool.rs
+++ b/crates/cli/src/tool.rs
@@ -9,14 +9,14 @@
 use iristhread_api::CompletionRequest;
 use iristhread_api::InstanceStatus;
 use iristhread_api::Resource;
-use iristhread_cli::CallOrder;
+use iristhread_cli::CallRequest;
 use iristhread_cli::Caller;
 use iristhread_cli::CliError;
 use iristhread_cli::CompletionOutcome;
 use iristhread_cli::Operator;
 use iristhread_cli::Target;
 use iristhread_cli::explain;
-use iristhread_cli::line_of;
+use iristhread_cli::format_record;
 use iristhread_core::Document;
 use iristhread_core::HybridTime;
 use serde::Serialize;
@@ -157,7 +157,7 @@
     }
 
     async fn call(&self, flags: flags::Call) -> Result<(), CliError> {
-        let order = CallOrder {
+        let order = CallRequest {
             service: flags.service,
             path: flags.path,
             body: flags.body,
@@ -262,7 +262,7 @@
             for record in &timeline.records {
                 after = after.max(record.time);
                 match self.form {
-                    Form::Text => println!("{}", line_of(record)),
+                    Form::Text => println!("{}", format_record(record)),
                     Form::Json => print_json(record)?,
                 }
             }
--- a/crates/cli/tests/losses.rs
+++ b/crates/cli/tests/losses.rs
@@ -1,10 +1,10 @@
 //! Requests told by cause, and a request's story, out of gateways' logs.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use iristhread_cli::LogStory;
+use iristhread_cli::LogTrace;
 use iristhread_cli::Losses;
 use iristhread_cli::Objectives;
-use iristhread_cli::loss_text;
+use iristhread_cli::format_losses;
 use iristhread_cli::read_lines;
 use test_case::test_case;
 
@@ -37,7 +37,7 @@
     let mut losses = Losses::default();
     let text = lines.join("\n");
     read_lines(text.as_bytes(), |line| losses.take(line)).unwrap();
-    loss_text(&losses.table(IN_TIME))
+    format_losses(&losses.table(IN_TIME))
 }
 
 #[test_case(ended(9_000, "r", 900, 120, 0), "served"; "in time")]
@@ -89,7 +89,7 @@
     let mut losses = Losses::default();
     let read = read_lines(text.as_bytes(), |line| losses.take(line)).unwrap();
     assert_eq!((read.taken, read.left_out), (1, 4));
-    assert!(loss_text(&losses.table(IN_TIME)).starts_with("chat: 1 requests"));
+    assert!(format_losses(&losses.table(IN_TIME)).starts_with("chat: 1 requests"));
 }
 
 #[test]
@@ -99,7 +99,7 @@
 
 #[test]
 fn the_story_of_a_request_is_in_order_over_all_logs() {
-    let mut story = LogStory::of("r");
+    let mut story = LogTrace::of("r");
     let later = format!(
         "x {}\n{}",
         ended(9_000, "r", 900, 10, 0),
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_request_that_is_nowhere_has_no_story() {
-    let mut story = LogStory::of("r");
+    let mut story = LogTrace::of("r");
     story.read(chosen(1, "r2", "e1").as_bytes()).unwrap();
     assert_eq!(story.text(), None);
 }
@@ -138,7 +138,7 @@
         line(2_000, "r1", era),
         line(1_000, "r1", foreign),
     ];
-    let mut story = LogStory::of_beliefs();
+    let mut story = LogTrace::of_state_changes();
     story.read(lines.join("\n").as_bytes()).unwrap();
     let text = story.text().unwrap();
     let told: Vec<&str> = text.lines().collect();
@@ -161,7 +161,7 @@
         line(1_700, "r1", reads),
         line(1_712, "r1", in_force),
     ];
-    let mut story = LogStory::of_beliefs();
+    let mut story = LogTrace::of_state_changes();
     story.read(lines.join("\n").as_bytes()).unwrap();
     let text = story.text().unwrap();
     let told: Vec<&str> = text.lines().collect();
@@ -173,7 +173,7 @@
 
 #[test]
 fn logs_without_beliefs_have_no_story() {
-    let mut story = LogStory::of_beliefs();
+    let mut story = LogTrace::of_state_changes();
     story.read(chosen(1_500, "r1", "e1").as_bytes()).unwrap();
     assert_eq!(story.text(), None);
 }
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -13,7 +13,7 @@
 use iristhread_api::IDEMPOTENCY_KEY_HEADER;
 use iristhread_api::OUTCOME_HEADER;
 use iristhread_api::Reply;
-use iristhread_api::notice_of;
+use iristhread_api::parse_server_notice;
 use iristhread_core::BackendServer;
 use iristhread_core::CallEnd;
 use iristhread_core::CallRun;
@@ -265,7 +265,7 @@
     let reply = fetched.and_then(Result::ok);
     let notice = reply
         .as_ref()
-        .map(|reply| notice_of(reply.status, &reply.headers));
+        .map(|reply| parse_server_notice(reply.status, &reply.headers));
     let heard = ObservedNotice {
         notice: notice.unwrap_or_default(),
         sent_at,
--- a/crates/daemon/src/engines/engine_port.rs
+++ b/crates/daemon/src/engines/engine_port.rs
@@ -13,7 +13,7 @@
 use iristhread_api::HttpClient;
 use iristhread_api::HttpClientError;
 use iristhread_api::Reply;
-use iristhread_api::notice_of;
+use iristhread_api::parse_server_notice;
 use iristhread_core::LoadReport;
 use iristhread_core::ServerNotice;
 use thiserror::Error;
@@ -49,7 +49,7 @@
         match self {
             EngineError::Http(HttpClientError::Status {
                 status, headers, ..
-            }) => notice_of(*status, headers),
+            }) => parse_server_notice(*status, headers),
             _ => ServerNotice::default(),
         }
     }
@@ -137,7 +137,7 @@
     ) -> Result<EngineStream, EngineError> {
         let answer = tokio::time::timeout(START_TIMEOUT, self.client.events(request?));
         let (headers, events) = answer.await.map_err(|_| EngineError::Silent)??;
-        *notice = notice_of(StatusCode::OK, &headers);
+        *notice = parse_server_notice(StatusCode::OK, &headers);
         let parsed = events.map(|event| {
             let event = event?;
             serde_json::from_str(&event.data)
@@ -183,7 +183,7 @@
         Box::pin(async move {
             match self.fetched(request).await {
                 Ok(reply) => Answered {
-                    notice: notice_of(reply.status, &reply.headers),
+                    notice: parse_server_notice(reply.status, &reply.headers),
                     result: Ok(()),
                 },
                 Err(error) => heard(Err(error), ServerNotice::default()),
@@ -196,7 +196,7 @@
         Box::pin(async move {
             match self.fetched(request).await {
                 Ok(reply) => Answered {
-                    notice: notice_of(reply.status, &reply.headers),
+                    notice: parse_server_notice(reply.status, &reply.headers),
                     result: report_of(&reply),
                 },
                 Err(error) => heard(Err(error), ServerNotice::default()),
--- a/crates/daemon/src/gateway.rs
+++ b/crates/daemon/src/gateway.rs
@@ -200,7 +200,10 @@
             dialect: ports.dialect,
             mover,
             notices,
-            client: HttpClient::impatient(MAX_ANSWER_BYTES, BACKEND_CONNECT_TIMEOUT),
+            client: HttpClient::unpooled_with_connect_timeout(
+                MAX_ANSWER_BYTES,
+                BACKEND_CONNECT_TIMEOUT,
+            ),
             metrics: metrics.clone(),
             log: log.clone(),
             views,
--- a/crates/daemon/src/platform/platform_port.rs
+++ b/crates/daemon/src/platform/platform_port.rs
@@ -53,7 +53,7 @@
     /// A platform at an address.
     pub fn new(address: SocketAddr) -> Self {
         HttpPlatform {
-            client: HttpClient::resting(MAX_VALUE_BYTES, LONGEST_REST),
+            client: HttpClient::pooled_with_idle_timeout(MAX_VALUE_BYTES, LONGEST_REST),
             address,
         }
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -7,7 +7,7 @@
 use iristhread_api::ChatMessage;
 use iristhread_api::ChatRequest;
 use iristhread_api::CompletionRequest;
-use iristhread_cli::CallOrder;
+use iristhread_cli::CallRequest;
 use iristhread_cli::CompletionOutcome;
 use iristhread_cli::explain;
 use iristhread_core::HybridTime;
@@ -79,7 +79,7 @@
 
 async fn book(scene: &Scene) -> Result<(), Failure> {
     println!("\nA delivery slot, which may be booked only once:");
-    let order = CallOrder {
+    let order = CallRequest {
         service: SLOT_SERVICE.to_owned(),
         path: "book".to_owned(),
         body: "tuesday 09:00".to_owned(),
