--- a/crates/cli/src/caller.rs
+++ b/crates/cli/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers do: complete, chat, call a service.
+//! Client for callers: completions, chats and service calls.
 
 use std::time::Duration;
 
@@ -24,43 +24,43 @@
 
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Connections in a row that bring no new token before the tool gives up.
+/// Consecutive connections without a new token after which a stream is given up.
 const MAX_ATTEMPTS_WITHOUT_PROGRESS: u32 = 8;
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Tries of a call with the same ticket.
+/// Maximum number of attempts of a service call per instance, all with the same ticket.
 const MAX_CALL_ATTEMPTS: usize = 3;
 
-/// A whole stream.
+/// Result of a complete stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct CompletionOutcome {
-    /// Id to explain it by.
+    /// Id of the request, for `iristhread explain`.
     pub request: String,
     /// Tokens in order.
     pub tokens: Vec<String>,
-    /// Why it ended.
+    /// Reason why the generation ended: `stop` or `length`.
     pub finish_reason: String,
-    /// Connections that it took.
+    /// Number of connections that were opened for the stream.
     pub connections: u32,
 }
 
-/// One call of a service.
+/// A call of a plain service.
 #[derive(Clone, Debug)]
 pub struct CallRequest {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Path below it, without the leading slash.
+    /// Path below the service, without the leading slash.
     pub path: String,
-    /// Body.
+    /// Body of the call.
     pub body: String,
 }
 
-/// Time without a token after which a stream is taken up elsewhere.
+/// Time without a token after which a stream continues at the next instance.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Talks to the caller addresses of instances.
+/// Client for the caller addresses of instances.
 #[derive(Clone, Debug)]
 pub struct Caller {
     target: Target,
@@ -68,13 +68,14 @@
     stall_timeout: Duration,
 }
 
-/// How one connection of a stream ended.
-enum Ending {
+/// Result of one connection of a stream.
+enum ConnectionEnd {
     Done,
     Broken(String),
     Refused(CliError),
 }
 
+/// State of a stream over all of its connections.
 #[derive(Default)]
 struct Received {
     outcome: CompletionOutcome,
@@ -82,7 +83,7 @@
 }
 
 impl Caller {
-    /// A caller of a target.
+    /// Creates a caller for the instances and the key of `target`.
     pub fn new(target: Target) -> Self {
         Caller {
             target,
@@ -91,20 +92,20 @@
         }
     }
 
-    /// Changes the time without a token after which a stream is taken up
-    /// elsewhere.
+    /// Sets the time without a token after which a stream continues at the next instance.
     #[must_use]
     pub fn with_stall_timeout(mut self, stall_timeout: Duration) -> Self {
         self.stall_timeout = stall_timeout;
         self
     }
 
-    /// Streams a completion; when a connection breaks, goes on at the next
-    /// instance from what was received. `path` is that of the interface.
+    /// Streams a completion. If a connection breaks, continues at the next instance after the
+    /// tokens received so far. `path` is the URL path of the interface, and `body` builds the
+    /// request from those tokens.
     ///
     /// # Errors
     ///
-    /// [`CliError`]; a stream that is not whole is never an `Ok`.
+    /// [`CliError`]; an incomplete stream is always an error.
     pub async fn stream<Body: Serialize>(
         &self,
         path: &str,
@@ -123,10 +124,12 @@
                 .read_connection(&uri, &body(tokens), &mut received, &mut on_token)
                 .await
             {
-                Ending::Done => return Ok(received.outcome),
-                Ending::Refused(error) if received.outcome.tokens.is_empty() => return Err(error),
-                Ending::Refused(error) => cause = error.to_string(),
-                Ending::Broken(text) => cause = text,
+                ConnectionEnd::Done => return Ok(received.outcome),
+                ConnectionEnd::Refused(error) if received.outcome.tokens.is_empty() => {
+                    return Err(error);
+                }
+                ConnectionEnd::Refused(error) => cause = error.to_string(),
+                ConnectionEnd::Broken(message) => cause = message,
             }
             attempts_without_progress = if received.outcome.tokens.len() > before {
                 0
@@ -136,7 +139,7 @@
             if attempts_without_progress >= MAX_ATTEMPTS_WITHOUT_PROGRESS {
                 break;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
         let received = received.outcome.tokens.len();
         Err(CliError::Incomplete { received, cause })
@@ -148,12 +151,12 @@
         body: &Body,
         received: &mut Received,
         on_token: &mut impl FnMut(&str),
-    ) -> Ending {
+    ) -> ConnectionEnd {
         let key = Some(self.target.key.as_str());
         let request = HttpClient::request(Method::POST, uri, key, Some(body));
         let mut request = match request {
             Ok(request) => request,
-            Err(error) => return Ending::Refused(error.into()),
+            Err(error) => return ConnectionEnd::Refused(error.into()),
         };
         if let Some(Ok(cursor)) = received.cursor.as_ref().map(|c| c.parse()) {
             request.headers_mut().insert(LAST_EVENT_ID_HEADER, cursor);
@@ -162,10 +165,10 @@
         let (headers, mut events) = match answer {
             Ok(Ok(answer)) => answer,
             Ok(Err(HttpClientError::Status { body, status, .. })) => {
-                return Ending::Refused(refusal(status, &body));
+                return ConnectionEnd::Refused(parse_refusal(status, &body));
             }
-            Ok(Err(error)) => return Ending::Broken(error.to_string()),
-            Err(_) => return Ending::Broken("no answer in time".to_owned()),
+            Ok(Err(error)) => return ConnectionEnd::Broken(error.to_string()),
+            Err(_) => return ConnectionEnd::Broken("no answer in time".to_owned()),
         };
         if let Some(Ok(id)) = headers.get(REQUEST_ID_HEADER).map(|id| id.to_str()) {
             received.outcome.request = id.split('.').next().unwrap_or(id).to_owned();
@@ -173,70 +176,74 @@
         loop {
             let event = match tokio::time::timeout(self.stall_timeout, events.next()).await {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(error))) => return Ending::Broken(error.to_string()),
+                Ok(Some(Err(error))) => return ConnectionEnd::Broken(error.to_string()),
                 Ok(None) => break,
-                Err(_) => return Ending::Broken("no token in time".to_owned()),
+                Err(_) => {
+                    return ConnectionEnd::Broken("no token within the stall timeout".to_owned());
+                }
             };
             if event.data == DONE_MARK {
-                return Ending::Done;
+                return ConnectionEnd::Done;
             }
             if event.event == "error" {
-                return Ending::Broken(refusal(StatusCode::OK, &event.data).to_string());
+                return ConnectionEnd::Broken(
+                    parse_refusal(StatusCode::OK, &event.data).to_string(),
+                );
             }
             received.take(&event.id, &event.data, on_token);
         }
-        Ending::Broken("the connection ended before the end mark".to_owned())
+        ConnectionEnd::Broken("the connection closed before the end of the stream".to_owned())
     }
 
-    /// Calls a service. A call that may not be repeated gets a ticket first and
-    /// is sent again only with the same one.
+    /// Calls a service. If the call must not be repeated, the instance issues a ticket first, and
+    /// every further request sends that ticket.
     ///
     /// # Errors
     ///
-    /// [`CliError`] with the outcome.
-    pub async fn call(&self, order: &CallRequest) -> Result<Reply, CliError> {
+    /// [`CliError`]; [`CliError::Refused`] states whether the call ran.
+    pub async fn call(&self, call: &CallRequest) -> Result<Reply, CliError> {
         let mut ticket: Option<String> = None;
-        let mut last = CliError::Unreachable("no server given".to_owned());
+        let mut last_error = CliError::Unreachable("no server address given".to_owned());
         let servers = self.target.servers.iter().cycle();
         for server in servers.take(self.target.servers.len() * MAX_CALL_ATTEMPTS) {
-            let reply = match self.send_call(server, order, ticket.as_deref()).await {
+            let reply = match self.send_call(server, call, ticket.as_deref()).await {
                 Ok(reply) => reply,
                 Err(error) => {
-                    last = to_cli_error(error, ticket.is_some());
-                    tokio::time::sleep(PAUSE).await;
+                    last_error = to_cli_error(error, ticket.is_some());
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 }
             };
             if reply.status == StatusCode::PRECONDITION_REQUIRED {
                 ticket = header(&reply, TICKET_HEADER);
-                match self.send_call(server, order, ticket.as_deref()).await {
-                    Ok(reply) => return checked(reply),
-                    Err(error) => last = to_cli_error(error, true),
+                match self.send_call(server, call, ticket.as_deref()).await {
+                    Ok(reply) => return check_response(reply),
+                    Err(error) => last_error = to_cli_error(error, true),
                 }
                 continue;
             }
-            return checked(reply);
+            return check_response(reply);
         }
-        Err(last)
+        Err(last_error)
     }
 
     async fn send_call(
         &self,
         server: &str,
-        order: &CallRequest,
+        call: &CallRequest,
         ticket: Option<&str>,
     ) -> Result<Reply, HttpClientError> {
-        let uri = format!("{server}/v1/services/{}/{}", order.service, order.path);
+        let uri = format!("{server}/v1/services/{}/{}", call.service, call.path);
         let key = Some(self.target.key.as_str());
-        let mut request = HttpClient::request(Method::POST, &uri, key, Some(&order.body))?;
-        *request.body_mut() = order.body.clone().into_bytes().into();
+        let mut request = HttpClient::request(Method::POST, &uri, key, Some(&call.body))?;
+        *request.body_mut() = call.body.clone().into_bytes().into();
         if let Some(Ok(ticket)) = ticket.map(str::parse) {
             request.headers_mut().insert(TICKET_HEADER, ticket);
         }
         self.client.fetch(request).await
     }
 
-    /// A completion that is not streamed.
+    /// Requests a completion that is not streamed.
     ///
     /// # Errors
     ///
@@ -245,7 +252,7 @@
         let uri = format!("{}/v1/completions", self.target.servers[0]);
         let key = Some(self.target.key.as_str());
         let request = HttpClient::request(Method::POST, &uri, key, Some(body))?;
-        let reply = checked(self.client.fetch(request).await?)?;
+        let reply = check_response(self.client.fetch(request).await?)?;
         serde_json::from_slice(&reply.body)
             .map_err(|error| CliError::Unreachable(error.to_string()))
     }
@@ -285,26 +292,29 @@
     Some(value.to_owned())
 }
 
-fn checked(reply: Reply) -> Result<Reply, CliError> {
+fn check_response(reply: Reply) -> Result<Reply, CliError> {
     let outcome = header(&reply, OUTCOME_HEADER);
     let ran = outcome.as_deref() == Some(Outcome::Ran.as_str());
     if ran && reply.status.is_success() {
         return Ok(reply);
     }
-    Err(refusal(reply.status, &String::from_utf8_lossy(&reply.body)))
+    Err(parse_refusal(
+        reply.status,
+        &String::from_utf8_lossy(&reply.body),
+    ))
 }
 
-fn refusal(status: StatusCode, body: &str) -> CliError {
+fn parse_refusal(status: StatusCode, body: &str) -> CliError {
     match serde_json::from_str::<ErrorBody>(body) {
         Ok(body) => CliError::Refused {
             message: match body.error.retry_after_s {
-                Some(seconds) => format!("{}; come back in {seconds} s", body.error.message),
+                Some(seconds) => format!("{}; retry in {seconds} s", body.error.message),
                 None => body.error.message,
             },
             outcome: body.error.outcome,
         },
         Err(_) => CliError::Refused {
-            message: format!("the answer was {status}: {body}"),
+            message: format!("unexpected response with status {status}: {body}"),
             outcome: Outcome::Unknown,
         },
     }
--- a/crates/cli/src/cli_error.rs
+++ b/crates/cli/src/cli_error.rs
@@ -1,58 +1,58 @@
-//! Errors of the tool, each with an exit code.
+//! Errors of the command-line tool with their exit codes.
 
 use iristhread_api::HttpClientError;
 use iristhread_core::Outcome;
 use thiserror::Error;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// The command line or environment lacks something.
+    /// The command line or the environment is invalid or incomplete.
     #[error("{0}")]
     Usage(String),
-    /// A file can't be read.
-    #[error("{file}: can't be read: {cause}")]
+    /// A file can't be read or parsed.
+    #[error("can't read {file}: {cause}")]
     File {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system or the parser.
         cause: String,
     },
-    /// A document has faults; they were printed.
+    /// A configuration document has faults, which were printed.
     #[error("{file}: {count} faults")]
     Faults {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// How many.
+        /// Number of faults.
         count: usize,
     },
     /// The request was refused or failed.
     #[error("{message} (outcome: {outcome})")]
     Refused {
-        /// What the instance said.
+        /// Message of the instance, or of the failed request.
         message: String,
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: Outcome,
     },
-    /// No instance could be reached, or none answered as promised.
-    #[error("no instance gave an answer: {0}")]
+    /// No instance could be reached, or none gave a valid response.
+    #[error("no instance gave a valid response: {0}")]
     Unreachable(String),
-    /// A stream ended without its end mark on every instance.
-    #[error("the stream is not whole after {received} tokens: {cause}")]
+    /// A stream could not be completed at any instance.
+    #[error("the stream is incomplete after {received} tokens: {cause}")]
     Incomplete {
-        /// Tokens received.
+        /// Number of tokens received.
         received: usize,
-        /// The last cause.
+        /// Failure of the last connection.
         cause: String,
     },
-    /// A wait was over before its condition.
+    /// The timeout of a wait elapsed before its condition was met.
     #[error("{0}")]
     TimedOut(String),
 }
 
 impl CliError {
-    /// Exit code: 1 failed and not run, 2 usage or faults, 3 unknown whether it
-    /// ran, 4 stream not whole, 5 timed out.
+    /// Returns the exit code: 1 failed and not run, 2 usage error or faults in a file, 3 unknown
+    /// whether the request ran, 4 incomplete stream, 5 timed out.
     pub fn exit_code(&self) -> u8 {
         match self {
             CliError::Usage(_) | CliError::File { .. } | CliError::Faults { .. } => 2,
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,10 +1,10 @@
-//! Says in words what happened to a request, and why.
+//! Descriptions of timeline records as text.
 
 use iristhread_core::Candidate;
 use iristhread_core::TimelineEvent;
 use iristhread_core::TimelineRecord;
 
-/// One line of the time line.
+/// Formats a timeline record as one line.
 pub fn format_record(record: &TimelineRecord) -> String {
     let time = record.time;
     let request = record.request.as_deref().unwrap_or("-");
@@ -16,24 +16,24 @@
     )
 }
 
-/// A request's story, a paragraph per event; placements list the candidates.
+/// Describes the records of one request, a line per event; placements list their candidates.
 pub fn explain(records: &[TimelineRecord]) -> String {
     let Some(first) = records.first() else {
         return "No instance that answered remembers this request.\n".to_owned();
     };
     let start_ms = first.time.wall_ms;
-    let mut story = String::new();
+    let mut description = String::new();
     for record in records {
         let after_ms = record.time.wall_ms.saturating_sub(start_ms);
         let text = describe_event(&record.event);
-        story += &format!("+{after_ms} ms  {}: {text}\n", record.instance);
+        description += &format!("+{after_ms} ms  {}: {text}\n", record.instance);
         if let TimelineEvent::Placed { candidates, .. } = &record.event {
             candidates
                 .iter()
-                .for_each(|c| story += &format_candidate(c));
+                .for_each(|c| description += &format_candidate(c));
         }
     }
-    story
+    description
 }
 
 fn format_candidate(candidate: &Candidate) -> String {
@@ -54,16 +54,16 @@
             workspace,
             model,
             attempt,
-        } => format!("attempt {attempt} of workspace {workspace} wants an engine for {model}"),
+        } => format!("attempt {attempt} of workspace {workspace} requests an engine for {model}"),
         TimelineEvent::Queued { depth } => {
-            format!("it waits, place {depth} in the queue of its workspace: no engine has room")
+            format!("queued at position {depth} in its workspace: no engine has room")
         }
         TimelineEvent::Placed {
             engine,
             attempt,
             candidates,
         } => format!(
-            "attempt {attempt} goes to {engine}, the lowest score of {} candidates",
+            "attempt {attempt} placed on {engine}, which has the lowest score of {} candidates",
             candidates.len()
         ),
         TimelineEvent::Refused {
@@ -76,15 +76,15 @@
             engine,
             cause,
             delivered,
-        } => format!("attempt {attempt} on {engine} given up after {delivered} tokens: {cause}"),
+        } => format!("attempt {attempt} on {engine} lost after {delivered} tokens: {cause}"),
         TimelineEvent::Preempted { attempt, engine } => {
-            format!("{engine} displaced attempt {attempt}: its memory was full")
+            format!("{engine} preempted attempt {attempt}: its memory was full")
         }
         TimelineEvent::Reconnected { delivered } => {
-            format!("the caller came back with {delivered} tokens")
+            format!("the caller reconnected with {delivered} tokens")
         }
         TimelineEvent::CallerLost { delivered } => {
-            format!("the caller's connection ended after {delivered} tokens")
+            format!("the caller's connection closed after {delivered} tokens")
         }
         TimelineEvent::Ended {
             outcome,
@@ -92,7 +92,7 @@
             reason,
         } => format!("ended after {delivered} tokens, outcome {outcome}: {reason}"),
         TimelineEvent::Forwarded { instance } => {
-            format!("forwarded to {instance}, which alone may run it by its ticket")
+            format!("forwarded to {instance}, the only instance that may run it with its ticket")
         }
         TimelineEvent::ConfigInForce { version, source } => {
             format!("configuration {version} in force, from {source}")
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line flags and subcommands.
 #![allow(
     missing_docs,
     reason = "the macro writes the types; the help texts document them"
@@ -7,22 +7,22 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Calls and operates iristhread.
+    /// Sends requests to iristhread and operates it.
     ///
     /// Callers' commands (complete, chat, call) take --server and --key, or
     /// IRISTHREAD_SERVER and IRISTHREAD_KEY. Operators' commands (get, watch,
     /// describe, status, wait, timeline, explain) take the same flags, or
     /// IRISTHREAD_OPERATOR and IRISTHREAD_OPERATOR_KEY. A list of servers is
-    /// separated by commas; the next one is tried when one fails.
+    /// separated by commas; if one fails, the next one is tried.
     ///
-    /// Exit codes: 0 done; 1 failed and not run; 2 usage or faults in a file;
-    /// 3 unknown whether it ran; 4 a stream is not whole; 5 timed out.
+    /// Exit codes: 0 success; 1 failed and not run; 2 usage error or faults in a file;
+    /// 3 unknown whether the request ran; 4 incomplete stream; 5 timed out.
     cmd iristhread {
         /// Addresses of instances: URL[,URL…].
         optional --server urls: String
         /// Bearer key.
         optional --key key: String
-        /// Form of the output: text or json.
+        /// Output format: text or json.
         optional --output form: String
 
         /// Stream a completion.
@@ -31,105 +31,106 @@
             required model: String
             /// Text to continue.
             required prompt: String
-            /// Most tokens to generate.
+            /// Maximum number of tokens to generate.
             optional --max-tokens tokens: i64
-            /// Adapter on top of the model.
+            /// Adapter to apply to the model.
             optional --adapter name: String
-            /// Print the request's id at the end, on standard error.
+            /// Print the request id to standard error at the end.
             optional --show-id
         }
         /// Stream the answer to one chat message.
         cmd chat {
             /// Model to generate with.
             required model: String
-            /// What the user says.
+            /// Message of the user.
             required message: String
-            /// Most tokens to generate.
+            /// Maximum number of tokens to generate.
             optional --max-tokens tokens: i64
-            /// Adapter on top of the model.
+            /// Adapter to apply to the model.
             optional --adapter name: String
-            /// Print the request's id at the end, on standard error.
+            /// Print the request id to standard error at the end.
             optional --show-id
         }
-        /// Call a plain service; one that may not be repeated runs at most once.
+        /// Call a plain service. A call that must not be repeated runs at most once.
         cmd call {
-            /// Service.
+            /// Name of the service.
             required service: String
             /// Path below the service.
             required path: String
-            /// Body.
+            /// Body of the call.
             required body: String
         }
         /// List resources of a kind: models, adapters, versions, engine-roles,
         /// workspaces, backend-servers or instances.
         cmd get {
-            /// Kind.
+            /// Kind of the resources.
             required kind: String
-            /// Name of one resource.
+            /// Name of a single resource.
             optional name: String
         }
-        /// Follow changes of resources, one JSON line each.
+        /// Watch resources; print one JSON line per change.
         cmd watch {
-            /// Kind.
+            /// Kind of the resources.
             required kind: String
-            /// Name of one resource.
+            /// Name of a single resource.
             optional name: String
             /// Resource version to start after.
             optional --from version: u64
         }
         /// Show one resource, declared and observed state side by side.
         cmd describe {
-            /// Kind.
+            /// Kind of the resources.
             required kind: String
-            /// Name.
+            /// Name of the resource.
             required name: String
         }
-        /// Show what each instance has in force, and how old it is.
+        /// Show the configuration version in force on each instance, and its age.
         cmd status {}
         /// Check a configuration document before it is published.
         cmd check {
-            /// JSON file.
+            /// JSON file with the document.
             required file: PathBuf
         }
         /// Wait until a configuration version is in force on every instance.
         cmd wait {
-            /// Version that the platform gave.
+            /// Version that the platform assigned.
             required version: u64
-            /// Longest wait in milliseconds (60000 if not given).
+            /// Timeout in milliseconds (default 60000).
             optional --timeout-ms timeout_ms: u64
         }
-        /// Show the time line of all instances.
+        /// Show the timeline of all instances.
         cmd timeline {
-            /// Only of this request.
+            /// Show only records of this request.
             optional --request id: String
-            /// Go on with what comes.
+            /// Keep printing new records.
             optional --follow
         }
-        /// Tell why each decision about a request was made: asked of an instance, or read
-        /// from gateways' logs.
+        /// Explain the decisions about a request, from the timeline of the instances or from
+        /// gateway logs.
         cmd explain {
             /// Id of the request.
             required id: String
-            /// Log of a gateway, also with other text before the JSON; may be repeated.
+            /// Gateway log, also with other text before the JSON; may be repeated.
             repeated --logs file: PathBuf
         }
-        /// Count the requests in gateways' logs that were not served well, by cause.
+        /// Count the requests in gateway logs by route and cause of a late or failed response.
         cmd losses {
-            /// Longest time to a stream's first event that is in time, in milliseconds.
+            /// Maximum time to the first event of a stream, in milliseconds.
             required --first-event-ms ms: u64
-            /// Longest pause between two events that is in time, in milliseconds.
+            /// Maximum gap between two events of a stream, in milliseconds.
             required --pause-ms ms: u64
-            /// Log of a gateway; may be repeated. Standard input if there is none.
+            /// Gateway log; may be repeated. Reads standard input if none is given.
             repeated --logs file: PathBuf
         }
-        /// Tell from gateways' logs, in order of time, what the instances came to believe: the
-        /// directory lost, regained or back from an older copy (its era), the way of each
-        /// configuration until it is in force, entries that can't be used, servers that leave, rest or name limits, evacuated zones.
+        /// Show from gateway logs, in order of time, the changes in what the instances know: the
+        /// directory lost, regained or restored from an older copy (its era), the steps of each
+        /// configuration until it is in force, invalid entries, backend servers that drain, back
+        /// off or declare limits, and evacuated zones.
         cmd beliefs {
-            /// Log of a gateway, also with other text before the JSON; may be repeated.
+            /// Gateway log, also with other text before the JSON; may be repeated.
             repeated --logs file: PathBuf
         }
-        /// Print the hash of a key, as a configuration holds it.
+        /// Print the hash of a key in the form that a configuration holds.
         cmd hash-key {
             /// The key.
             required key: String
--- a/crates/cli/src/gateway_log.rs
+++ b/crates/cli/src/gateway_log.rs
@@ -1,82 +1,83 @@
-//! Lines of gateways' logs, as they are written or with another program's text before.
+//! Parser for gateway logs, whose lines may be preceded by text of another program.
 
 use std::io::BufRead;
 
 use serde::Deserialize;
 use time::OffsetDateTime;
 
-/// Longest line that is looked at: the longest written names every change of a list.
+/// Maximum length of a line that is parsed. The longest lines that gateways write name every
+/// change of a list.
 const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// One line, as far as it tells of a request.
+/// The fields of a log line that concern a request.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct GatewayLine {
-    /// What happened.
+    /// Log message.
     pub msg: String,
-    /// When, by the clock of its instance.
+    /// Time of the line, by the clock of its instance.
     #[serde(with = "time::serde::rfc3339")]
     pub ts: OffsetDateTime,
-    /// The instance.
+    /// Instance that wrote the line.
     pub instance: String,
-    /// The request, if it is about one.
+    /// Id of the request that the line concerns, if any.
     pub request: Option<String>,
-    /// The request's route.
+    /// Route of the request.
     pub route: Option<String>,
-    /// How the request ended.
+    /// Way in which the request ended.
     pub end: Option<String>,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub outcome: Option<String>,
-    /// The status that its backend server gave.
+    /// Status that the backend server returned.
     pub status: Option<u16>,
-    /// Why it was refused.
+    /// Reason for a refusal.
     pub reason: Option<String>,
-    /// Backend servers that it may go to, the chosen one first, as a JSON list.
+    /// Candidate backend servers as a JSON list, the chosen one first.
     pub ranking: Option<String>,
-    /// Time to its first event.
+    /// Time until the first event of the stream, in milliseconds.
     pub first_event_ms: Option<u64>,
-    /// Its longest pause between two events.
+    /// Longest gap between two events of the stream, in milliseconds.
     pub longest_gap_ms: Option<u64>,
-    /// How often it was taken to another engine.
+    /// Number of failovers to another engine.
     pub carried: Option<u32>,
 }
 
 impl GatewayLine {
-    /// Reads a line; `None` when it holds no line of a gateway.
+    /// Parses a line; returns `None` if it is not a line of a gateway log.
     pub fn parse(text: &str) -> Option<GatewayLine> {
         let json = &text[text.find('{')?..];
         serde_json::from_str(json.trim_end()).ok()
     }
 
-    /// Milliseconds since 1970.
+    /// Returns the time of the line in milliseconds since the Unix epoch.
     pub fn at_ms(&self) -> i64 {
         (self.ts.unix_timestamp_nanos() / 1_000_000) as i64
     }
 
-    /// The first backend server of the ranking.
+    /// Returns the first backend server of the ranking.
     pub fn chosen(&self) -> Option<String> {
         let ranking: Vec<String> = serde_json::from_str(self.ranking.as_deref()?).ok()?;
         ranking.into_iter().next()
     }
 }
 
-/// How many lines were read.
+/// Counts of the lines that were read.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LinesRead {
-    /// Lines of gateways.
-    pub taken: u64,
-    /// Others: cut in the middle, too long, or of another program.
-    pub left_out: u64,
+    /// Lines of gateway logs.
+    pub parsed: u64,
+    /// Other lines: truncated, longer than the limit, or of another program.
+    pub skipped: u64,
 }
 
-/// Hands each line of a gateway to `take`, one at a time, so that memory doesn't grow
-/// with the logs.
+/// Passes each line of a gateway log to `on_line`, one at a time, so that memory use does not
+/// grow with the size of the logs.
 ///
 /// # Errors
 ///
-/// When the source can't be read on.
+/// The I/O error if reading from the source fails.
 pub fn read_lines(
     mut source: impl BufRead,
-    mut take: impl FnMut(GatewayLine),
+    mut on_line: impl FnMut(GatewayLine),
 ) -> std::io::Result<LinesRead> {
     let mut read = LinesRead::default();
     let mut bytes = Vec::new();
@@ -87,10 +88,10 @@
         };
         match line {
             Some(line) => {
-                read.taken += 1;
-                take(line);
+                read.parsed += 1;
+                on_line(line);
             }
-            None => read.left_out += 1,
+            None => read.skipped += 1,
         }
         bytes.clear();
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! `iristhread`: the command-line tool of callers and operators.
+//! `iristhread`: the command-line tool for callers and operators.
 
 mod caller;
 mod cli_error;
--- a/crates/cli/src/log_commands.rs
+++ b/crates/cli/src/log_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that read gateways' logs and need no instance.
+//! Commands that read gateway logs and need no running instance.
 
 use std::fs::File;
 use std::io::BufRead;
@@ -17,46 +17,46 @@
 
 const STANDARD_INPUT: &str = "standard input";
 
-/// Prints the story of a request.
+/// Prints the trace of a request.
 pub fn explain(request: &str, files: &[PathBuf]) -> Result<(), CliError> {
-    let mut story = LogTrace::of(request);
+    let mut trace = LogTrace::of(request);
     for file in files {
-        let read = story.read(open(file)?);
-        read.map_err(|error| unreadable(&file.display().to_string(), &error))?;
+        let read = trace.read(open(file)?);
+        read.map_err(|error| file_error(&file.display().to_string(), &error))?;
     }
-    match story.text() {
+    match trace.text() {
         Some(text) => {
             print!("{text}");
             Ok(())
         }
         None => Err(CliError::Usage(format!(
-            "no line of these logs is about request {request}; are they those of all instances?"
+            "no line of these logs concerns request {request}; are the logs of all instances given?"
         ))),
     }
 }
 
-/// Prints what the instances came to believe of the directory, its servers and zones.
-pub fn beliefs(files: &[PathBuf]) -> Result<(), CliError> {
-    let mut story = LogTrace::of_state_changes();
+/// Prints the changes in what the instances know of the directory, backend servers and zones.
+pub fn state_changes(files: &[PathBuf]) -> Result<(), CliError> {
+    let mut trace = LogTrace::of_state_changes();
     for file in files {
-        let read = story.read(open(file)?);
-        read.map_err(|error| unreadable(&file.display().to_string(), &error))?;
+        let read = trace.read(open(file)?);
+        read.map_err(|error| file_error(&file.display().to_string(), &error))?;
     }
-    let Some(text) = story.text() else {
-        let message = "no line of these logs tells of a belief; are they those of gateways?";
+    let Some(text) = trace.text() else {
+        let message = "no line of these logs reports a change of state; are they gateway logs?";
         return Err(CliError::Usage(message.to_owned()));
     };
     print!("{text}");
-    if story.dropped_lines > 0 {
+    if trace.dropped_lines > 0 {
         eprintln!(
-            "{} lines are more than are kept in memory",
-            story.dropped_lines
+            "{} lines dropped: too many to keep in memory",
+            trace.dropped_lines
         );
     }
     Ok(())
 }
 
-/// Prints requests by cause.
+/// Prints the number of requests by cause of loss.
 pub fn losses(flags: &flags::Losses) -> Result<(), CliError> {
     let mut losses = Losses::default();
     if flags.logs.is_empty() {
@@ -72,23 +72,23 @@
     print!("{}", format_losses(&losses.table(objectives)));
     if losses.dropped_lines > 0 {
         let count = losses.dropped_lines;
-        eprintln!("{count} lines are about more requests than are kept in memory");
+        eprintln!("{count} lines dropped: they concern more requests than are kept in memory");
     }
     Ok(())
 }
 
 fn read_all(losses: &mut Losses, name: &str, source: impl BufRead) -> Result<(), CliError> {
     let read = read_lines(source, |line| losses.take(line));
-    let read = read.map_err(|error| unreadable(name, &error))?;
-    if read.taken == 0 {
+    let read = read.map_err(|error| file_error(name, &error))?;
+    if read.parsed == 0 {
         return Err(CliError::Usage(format!(
-            "{name}: no line is one of a gateway's log"
+            "{name}: no line of a gateway log found"
         )));
     }
-    if read.left_out > 0 {
+    if read.skipped > 0 {
         eprintln!(
-            "{name}: {} lines left out, which are none of a gateway",
-            read.left_out
+            "{name}: skipped {} lines that are not of a gateway log",
+            read.skipped
         );
     }
     Ok(())
@@ -96,10 +96,10 @@
 
 fn open(file: &Path) -> Result<BufReader<File>, CliError> {
     let opened = File::open(file).map(BufReader::new);
-    opened.map_err(|error| unreadable(&file.display().to_string(), &error))
+    opened.map_err(|error| file_error(&file.display().to_string(), &error))
 }
 
-fn unreadable(file: &str, error: &std::io::Error) -> CliError {
+fn file_error(file: &str, error: &std::io::Error) -> CliError {
     CliError::File {
         file: file.to_owned(),
         cause: error.to_string(),
--- a/crates/cli/src/log_trace.rs
+++ b/crates/cli/src/log_trace.rs
@@ -1,5 +1,5 @@
-//! The story of one request, or of what is believed of servers and the directory, out of
-//! gateways' logs.
+//! Traces from gateway logs: of one request, or of the changes in what the instances know of
+//! backend servers, zones and the directory.
 
 use std::io::BufRead;
 
@@ -8,7 +8,7 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-/// Fields that stand in each line and are shown apart or not at all.
+/// Fields that every line has; they are shown separately or omitted.
 const COMMON_FIELDS: [&str; 6] = [
     "msg",
     "level",
@@ -18,8 +18,8 @@
     "request",
 ];
 
-/// Lines that tell of a change in what is believed, and of the waits on the way to it.
-const BELIEFS: [&str; 18] = [
+/// Messages that report a change of state, or a wait that delayed one.
+const STATE_CHANGES: [&str; 18] = [
     "directory lost",
     "directory regained",
     "directory came back from an older copy",
@@ -40,108 +40,108 @@
     "zone is no longer evacuated",
 ];
 
-/// Most lines that are kept: some hundred bytes each.
+/// Maximum number of entries that are kept in memory, at a few hundred bytes each.
 const MAX_TRACE_ENTRIES: usize = 200_000;
 
-/// What a story is about.
+/// Subject of a trace.
 #[derive(Debug)]
 enum Topic {
     Request(String),
-    Beliefs,
+    StateChanges,
 }
 
 impl Topic {
-    /// Whether a line may be about it; most are not, and needn't be parsed.
+    /// Returns whether a line may concern the topic. Most lines don't and need not be parsed.
     fn may_match(&self, line: &str) -> bool {
         match self {
             Topic::Request(request) => line.contains(request),
-            Topic::Beliefs => BELIEFS.iter().any(|message| line.contains(message)),
+            Topic::StateChanges => STATE_CHANGES.iter().any(|message| line.contains(message)),
         }
     }
 
     fn matches_topic(&self, message: &str, request: Option<&str>) -> bool {
         match self {
             Topic::Request(id) => request == Some(id),
-            Topic::Beliefs => BELIEFS.contains(&message),
+            Topic::StateChanges => STATE_CHANGES.contains(&message),
         }
     }
 }
 
-/// What one instance logged about the topic.
+/// A log line of one instance that concerns the topic.
 #[derive(Debug)]
-struct Step {
+struct Entry {
     at: OffsetDateTime,
     instance: String,
     text: String,
 }
 
-/// The lines about one topic, from all instances, in any order.
+/// The log lines that concern one topic, read from all instances in any order.
 #[derive(Debug)]
 pub struct LogTrace {
     topic: Topic,
-    steps: Vec<Step>,
-    /// Lines about it that were more than are kept.
+    entries: Vec<Entry>,
+    /// Number of matching lines that were dropped because the trace was full.
     pub dropped_lines: u64,
 }
 
 impl LogTrace {
-    /// Knows nothing yet about a request.
+    /// Creates an empty trace of a request.
     pub fn of(request: &str) -> Self {
-        LogTrace::about(Topic::Request(request.to_owned()))
+        LogTrace::new(Topic::Request(request.to_owned()))
     }
 
-    /// Knows nothing yet about what the instances believe.
+    /// Creates an empty trace of the state changes of the instances.
     pub fn of_state_changes() -> Self {
-        LogTrace::about(Topic::Beliefs)
+        LogTrace::new(Topic::StateChanges)
     }
 
-    fn about(topic: Topic) -> Self {
+    fn new(topic: Topic) -> Self {
         LogTrace {
             topic,
-            steps: Vec::new(),
+            entries: Vec::new(),
             dropped_lines: 0,
         }
     }
 
-    /// Reads logs; lines that are about something else, or are none, are passed over.
+    /// Reads a log; skips lines that don't concern the topic and text that is not a log line.
     ///
     /// # Errors
     ///
-    /// When the source can't be read on.
+    /// The I/O error if reading from the source fails.
     pub fn read(&mut self, mut source: impl BufRead) -> std::io::Result<()> {
         let mut bytes = Vec::new();
         while source.read_until(b'\n', &mut bytes)? > 0 {
             let line = String::from_utf8_lossy(&bytes);
             if self.topic.may_match(&line)
-                && let Some(step) = parse_entry(&line, &self.topic)
+                && let Some(entry) = parse_entry(&line, &self.topic)
             {
-                self.keep(step);
+                self.keep(entry);
             }
             bytes.clear();
         }
         Ok(())
     }
 
-    fn keep(&mut self, step: Step) {
-        match self.steps.len() < MAX_TRACE_ENTRIES {
-            true => self.steps.push(step),
+    fn keep(&mut self, entry: Entry) {
+        match self.entries.len() < MAX_TRACE_ENTRIES {
+            true => self.entries.push(entry),
             false => self.dropped_lines += 1,
         }
     }
 
-    /// The story in order of time; `None` when no line is about the topic.
+    /// Returns the trace in order of time, or `None` if no line concerns the topic.
     pub fn text(&mut self) -> Option<String> {
-        self.steps.sort_by_key(|step| step.at);
-        let start = self.steps.first()?.at;
-        let lines = self.steps.iter().map(|step| {
-            let after_ms = (step.at - start).whole_milliseconds();
-            format!("+{after_ms} ms  {}: {}\n", step.instance, step.text)
+        self.entries.sort_by_key(|entry| entry.at);
+        let start = self.entries.first()?.at;
+        let lines = self.entries.iter().map(|entry| {
+            let after_ms = (entry.at - start).whole_milliseconds();
+            format!("+{after_ms} ms  {}: {}\n", entry.instance, entry.text)
         });
         Some(lines.collect())
     }
 }
 
-fn parse_entry(line: &str, topic: &Topic) -> Option<Step> {
+fn parse_entry(line: &str, topic: &Topic) -> Option<Entry> {
     let json = &line[line.find('{')?..];
     let fields: Map<String, Value> = serde_json::from_str(json.trim_end()).ok()?;
     let text = |name: &str| fields.get(name).and_then(Value::as_str);
@@ -150,18 +150,18 @@
         return None;
     }
     let at = OffsetDateTime::parse(text("ts")?, &Rfc3339).ok()?;
-    let shown = fields
+    let details = fields
         .iter()
         .filter(|(name, value)| !COMMON_FIELDS.contains(&name.as_str()) && !value.is_null());
-    let shown: Vec<String> = shown
+    let details: Vec<String> = details
         .map(|(name, value)| format_field(name, value))
         .collect();
-    Some(Step {
+    Some(Entry {
         at,
         instance: text("instance")?.to_owned(),
-        text: match shown.is_empty() {
+        text: match details.is_empty() {
             true => message.to_owned(),
-            false => format!("{message} ({})", shown.join(", ")),
+            false => format!("{message} ({})", details.join(", ")),
         },
     })
 }
--- a/crates/cli/src/losses.rs
+++ b/crates/cli/src/losses.rs
@@ -1,91 +1,93 @@
-//! Requests that were not served well, by cause, told from gateways' logs.
+//! Counts of requests that missed their objectives or failed, by cause, from gateway logs.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
 
 use crate::gateway_log::GatewayLine;
 
-/// Most requests that are kept in memory; about 200 bytes each.
+/// Maximum number of requests that are kept in memory, at about 200 bytes each.
 const MAX_REQUESTS: usize = 2_000_000;
 
-/// Unread prompts before a session from which on they are counted as one.
+/// Number of unread prompts ahead of a session from which on all counts share one cause.
 const MAX_COUNTED_AHEAD: usize = 4;
 
-/// What is in time.
+/// Latency limits for a stream that is served in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Objectives {
-    /// Longest time to the first event of a stream.
+    /// Maximum time to the first event of a stream, in milliseconds.
     pub first_event_ms: u64,
-    /// Longest pause between two events.
+    /// Maximum gap between two events of a stream, in milliseconds.
     pub pause_ms: u64,
 }
 
+/// What the logs state about one request.
 #[derive(Debug, Default)]
 struct RequestTrace {
-    /// Where it was sent first, and when.
+    /// Backend server that the request was sent to first, and the time in milliseconds.
     chosen: Option<(String, i64)>,
     first_event_at_ms: Option<i64>,
+    /// Line that reports the end of the request.
     end: Option<GatewayLine>,
 }
 
-/// Collects the lines of all instances in any order.
+/// Collects the log lines of all instances, in any order.
 #[derive(Debug, Default)]
 pub struct Losses {
-    stories: HashMap<String, RequestTrace>,
-    /// Lines about requests beyond those that are kept.
+    traces: HashMap<String, RequestTrace>,
+    /// Number of lines that were dropped because the maximum number of requests was reached.
     pub dropped_lines: u64,
 }
 
-/// Requests by route and cause.
+/// Number of requests by route and cause.
 pub type LossTable = BTreeMap<(String, String), u64>;
 
 impl Losses {
-    /// Takes a line.
+    /// Adds a line; ignores lines that don't concern a request.
     pub fn take(&mut self, line: GatewayLine) {
         let Some(request) = line.request.clone() else {
             return;
         };
-        if self.stories.len() >= MAX_REQUESTS && !self.stories.contains_key(&request) {
+        if self.traces.len() >= MAX_REQUESTS && !self.traces.contains_key(&request) {
             self.dropped_lines += 1;
             return;
         }
-        let story = self.stories.entry(request).or_default();
+        let trace = self.traces.entry(request).or_default();
         match line.msg.as_str() {
             "backend server chosen" => {
                 let at_ms = line.at_ms();
-                story.chosen = line.chosen().map(|server| (server, at_ms));
+                trace.chosen = line.chosen().map(|server| (server, at_ms));
             }
             "stream ended" => {
-                story.first_event_at_ms = first_event_at(&line, story);
-                story.end = Some(line);
+                trace.first_event_at_ms = first_event_at(&line, trace);
+                trace.end = Some(line);
             }
             "stream ended before it began" | "call ended" | "request refused" => {
-                story.end = Some(line);
+                trace.end = Some(line);
             }
             _ => {}
         }
     }
 
-    /// Counts requests by route and cause.
+    /// Counts the requests that have ended, by route and cause.
     pub fn table(&self, objectives: Objectives) -> LossTable {
         let waits = self.waits_by_server();
         let mut table = LossTable::new();
-        for story in self.stories.values() {
-            let Some(end) = &story.end else {
+        for trace in self.traces.values() {
+            let Some(end) = &trace.end else {
                 continue;
             };
             let route = end.route.clone().unwrap_or_else(|| "-".to_owned());
-            let cause = cause(story, end, objectives, &waits);
+            let cause = cause(trace, end, objectives, &waits);
             *table.entry((route, cause)).or_default() += 1;
         }
         table
     }
 
-    /// From when to when each stream waited for its first event, by server.
+    /// Returns the interval in which each stream waited for its first event, by backend server.
     fn waits_by_server(&self) -> HashMap<&str, Vec<(i64, i64)>> {
         let mut waits: HashMap<&str, Vec<(i64, i64)>> = HashMap::new();
-        for story in self.stories.values() {
-            if let (Some((server, from_ms)), Some(to_ms)) = (&story.chosen, story.first_event_at_ms)
+        for trace in self.traces.values() {
+            if let (Some((server, from_ms)), Some(to_ms)) = (&trace.chosen, trace.first_event_at_ms)
             {
                 waits.entry(server).or_default().push((*from_ms, to_ms));
             }
@@ -94,25 +96,25 @@
     }
 }
 
-fn first_event_at(end: &GatewayLine, story: &RequestTrace) -> Option<i64> {
-    let (_, chosen_ms) = story.chosen.as_ref()?;
+fn first_event_at(end: &GatewayLine, trace: &RequestTrace) -> Option<i64> {
+    let (_, chosen_ms) = trace.chosen.as_ref()?;
     let waited_ms = i64::try_from(end.first_event_ms?).ok()?;
     Some(chosen_ms + waited_ms)
 }
 
 fn cause(
-    story: &RequestTrace,
+    trace: &RequestTrace,
     end: &GatewayLine,
     objectives: Objectives,
     waits: &HashMap<&str, Vec<(i64, i64)>>,
 ) -> String {
-    let said = end.end.as_deref().unwrap_or("-");
+    let stream_end = end.end.as_deref().unwrap_or("-");
     match end.msg.as_str() {
         "request refused" => format!("refused: {}", end.reason.as_deref().unwrap_or("-")),
-        "stream ended before it began" => format!("not begun: {said}"),
+        "stream ended before it began" => format!("not begun: {stream_end}"),
         "call ended" => call_cause(end),
-        _ if said != "whole" => format!("stream {said}"),
-        _ => stream_cause(story, end, objectives, waits),
+        _ if stream_end != "whole" => format!("stream {stream_end}"),
+        _ => stream_cause(trace, end, objectives, waits),
     }
 }
 
@@ -126,18 +128,18 @@
 }
 
 fn stream_cause(
-    story: &RequestTrace,
+    trace: &RequestTrace,
     end: &GatewayLine,
     objectives: Objectives,
     waits: &HashMap<&str, Vec<(i64, i64)>>,
 ) -> String {
     if end
         .first_event_ms
-        .is_some_and(|took| took > objectives.first_event_ms)
+        .is_some_and(|time| time > objectives.first_event_ms)
     {
         return format!(
             "first event late behind {} unread prompts",
-            ahead(story, waits)
+            count_ahead(trace, waits)
         );
     }
     if end
@@ -152,9 +154,9 @@
     "served".to_owned()
 }
 
-/// Streams that waited at the same server when this one was sent there.
-fn ahead(story: &RequestTrace, waits: &HashMap<&str, Vec<(i64, i64)>>) -> String {
-    let Some((server, at_ms)) = &story.chosen else {
+/// Counts the streams that waited at the same backend server when this one was sent there.
+fn count_ahead(trace: &RequestTrace, waits: &HashMap<&str, Vec<(i64, i64)>>) -> String {
+    let Some((server, at_ms)) = &trace.chosen else {
         return "unknown".to_owned();
     };
     let waiting = waits.get(server.as_str()).into_iter().flatten();
@@ -165,7 +167,7 @@
     }
 }
 
-/// The table as text, the most frequent causes of each route first.
+/// Formats the table as text, with the most frequent causes of each route first.
 pub fn format_losses(table: &LossTable) -> String {
     let mut sums: BTreeMap<&str, u64> = BTreeMap::new();
     for ((route, _), count) in table {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `iristhread`.
+//! The `iristhread` program.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do: read resources, wait, look at the time line.
+//! Client for operators: resources, status and the timeline.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Time between two looks while waiting.
-const INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two status requests while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Talks to the operator addresses of instances.
+/// Client for the operator addresses of instances.
 #[derive(Clone, Debug)]
 pub struct Operator {
     target: Target,
@@ -29,7 +29,7 @@
 }
 
 impl Operator {
-    /// An operator of a target.
+    /// Creates an operator for the instances and the key of `target`.
     pub fn new(target: Target) -> Self {
         Operator {
             target,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Resources of a kind, or one of them.
+    /// Returns the resources of a kind, or only the one called `name`.
     ///
     /// # Errors
     ///
@@ -50,11 +50,11 @@
         self.read(&resource_path(kind, name)).await
     }
 
-    /// Follows changes of a kind; each line is the JSON of one change.
+    /// Watches resources of a kind; calls `on_line` with the JSON of each change.
     ///
     /// # Errors
     ///
-    /// [`CliError`] when the watch is refused or breaks.
+    /// [`CliError`] if the watch is refused, fails or ends.
     pub async fn watch(
         &self,
         kind: &str,
@@ -82,11 +82,11 @@
                 .for_each(&mut on_line);
         }
         Err(CliError::Unreachable(
-            "the watch ended; start it anew".to_owned(),
+            "the watch ended; start it again".to_owned(),
         ))
     }
 
-    /// What each instance has in force.
+    /// Returns the configuration status of each instance.
     ///
     /// # Errors
     ///
@@ -95,12 +95,12 @@
         self.read("/v1/status").await
     }
 
-    /// Waits until a version is in force on every listed instance; `progress`
-    /// gets the number that have it and the number of all.
+    /// Waits until a configuration version is in force on every listed instance. Calls `progress`
+    /// with the number of instances that have it and the number of all instances.
     ///
     /// # Errors
     ///
-    /// [`CliError::TimedOut`] with the instances that lack it.
+    /// [`CliError::TimedOut`] with the instances that don't have the version in force.
     pub async fn wait(
         &self,
         version: u64,
@@ -109,25 +109,25 @@
     ) -> Result<(), CliError> {
         let start = std::time::Instant::now();
         loop {
-            let lines = self.status().await?;
-            let lacks = |(name, line): (&String, &InstanceStatus)| {
-                (line.config_version < version).then(|| name.clone())
+            let statuses = self.status().await?;
+            let missing_name = |(name, status): (&String, &InstanceStatus)| {
+                (status.config_version < version).then(|| name.clone())
             };
-            let lacking: Vec<String> = lines.iter().filter_map(lacks).collect();
-            progress(lines.len() - lacking.len(), lines.len());
-            if lacking.is_empty() {
+            let missing: Vec<String> = statuses.iter().filter_map(missing_name).collect();
+            progress(statuses.len() - missing.len(), statuses.len());
+            if missing.is_empty() {
                 return Ok(());
             }
             if start.elapsed() >= timeout {
-                let names = lacking.join(", ");
+                let names = missing.join(", ");
                 let message = format!("version {version} is not in force on: {names}");
                 return Err(CliError::TimedOut(message));
             }
-            tokio::time::sleep(INTERVAL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The time line over all instances after a time.
+    /// Returns the timeline records of all instances after a time, optionally of one request.
     ///
     /// # Errors
     ///
@@ -146,16 +146,16 @@
     }
 
     async fn read<Answer: DeserializeOwned>(&self, path: &str) -> Result<Answer, CliError> {
-        let mut last = CliError::Unreachable("no server given".to_owned());
+        let mut last_error = CliError::Unreachable("no server address given".to_owned());
         for server in &self.target.servers {
             let request = self.request(&format!("{server}{path}"))?;
             match self.client.json(request).await {
                 Ok(Some(answer)) => return Ok(answer),
-                Ok(None) => last = CliError::Unreachable("an empty answer".to_owned()),
-                Err(error) => last = error.into(),
+                Ok(None) => last_error = CliError::Unreachable("empty response".to_owned()),
+                Err(error) => last_error = error.into(),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     fn request(
--- a/crates/cli/src/tool.rs
+++ b/crates/cli/src/tool.rs
@@ -1,4 +1,4 @@
-//! Carries out one command and prints its result.
+//! Execution of one command and output of its result.
 
 use std::io::Write;
 use std::path::Path;
@@ -29,37 +29,41 @@
 const FOLLOW_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Form {
+enum OutputFormat {
     Text,
     Json,
 }
 
-/// The flags that all commands share.
+/// Executes commands with the flags that all of them share.
 pub struct Tool {
     servers: Option<String>,
     key: Option<String>,
-    form: Form,
+    format: OutputFormat,
 }
 
 impl Tool {
-    /// Checks the shared flags.
+    /// Creates a tool from the shared flags; fails if the output format is unknown.
     pub fn new(
         servers: Option<String>,
         key: Option<String>,
         output: Option<String>,
     ) -> Result<Self, CliError> {
-        let form = match output.as_deref() {
-            None | Some("text") => Form::Text,
-            Some("json") => Form::Json,
+        let format = match output.as_deref() {
+            None | Some("text") => OutputFormat::Text,
+            Some("json") => OutputFormat::Json,
             Some(other) => {
                 let message = format!("--output is {other:?}; use text or json");
                 return Err(CliError::Usage(message));
             }
         };
-        Ok(Tool { servers, key, form })
+        Ok(Tool {
+            servers,
+            key,
+            format,
+        })
     }
 
-    /// Carries out one command.
+    /// Executes one command.
     pub async fn run(&self, command: IristhreadCmd) -> Result<(), CliError> {
         match command {
             IristhreadCmd::Complete(flags) => self.complete(flags).await,
@@ -76,7 +80,7 @@
                 log_commands::explain(&flags.id, &flags.logs)
             }
             IristhreadCmd::Explain(flags) => self.explain(&flags.id).await,
-            IristhreadCmd::Beliefs(flags) => log_commands::beliefs(&flags.logs),
+            IristhreadCmd::Beliefs(flags) => log_commands::state_changes(&flags.logs),
             IristhreadCmd::Losses(flags) => log_commands::losses(&flags),
             IristhreadCmd::HashKey(flags) => {
                 println!("{}", blake3::hash(flags.key.as_bytes()).to_hex());
@@ -133,20 +137,21 @@
         self.print_stream(&outcome, flags.show_id)
     }
 
-    /// Prints tokens as they come, unless a script reads the whole.
+    /// Returns a callback that prints each token on arrival; JSON output prints only the complete
+    /// result.
     fn printer(&self) -> impl FnMut(&str) {
-        let as_text = self.form == Form::Text;
+        let as_text = self.format == OutputFormat::Text;
         move |token: &str| {
             if as_text {
                 print!("{token}");
-                // A reader that left is found out at the next line.
+                // A closed standard output is detected by the next `println!`.
                 let _ = std::io::stdout().flush();
             }
         }
     }
 
     fn print_stream(&self, outcome: &CompletionOutcome, show_id: bool) -> Result<(), CliError> {
-        if self.form == Form::Json {
+        if self.format == OutputFormat::Json {
             return print_json(outcome);
         }
         println!();
@@ -157,19 +162,19 @@
     }
 
     async fn call(&self, flags: flags::Call) -> Result<(), CliError> {
-        let order = CallRequest {
+        let call = CallRequest {
             service: flags.service,
             path: flags.path,
             body: flags.body,
         };
-        let reply = self.caller()?.call(&order).await?;
+        let reply = self.caller()?.call(&call).await?;
         println!("{}", String::from_utf8_lossy(&reply.body));
         Ok(())
     }
 
     async fn get(&self, kind: &str, name: Option<&str>) -> Result<(), CliError> {
         let list = self.operator()?.resources(kind, name).await?;
-        if self.form == Form::Json {
+        if self.format == OutputFormat::Json {
             return print_json(&list);
         }
         println!("# resource version {}", list.resource_version);
@@ -198,7 +203,7 @@
     }
 
     fn print_resource(&self, item: &Resource) -> Result<(), CliError> {
-        if self.form == Form::Json {
+        if self.format == OutputFormat::Json {
             return print_json(item);
         }
         println!("name      {}", item.name);
@@ -208,13 +213,13 @@
     }
 
     async fn status(&self) -> Result<(), CliError> {
-        let lines = self.operator()?.status().await?;
-        if self.form == Form::Json {
-            return print_json(&lines);
+        let statuses = self.operator()?.status().await?;
+        if self.format == OutputFormat::Json {
+            return print_json(&statuses);
         }
-        lines
+        statuses
             .iter()
-            .for_each(|(name, line)| println!("{name}\t{}", status_line(line)));
+            .for_each(|(name, status)| println!("{name}\t{}", format_status(status)));
         Ok(())
     }
 
@@ -261,9 +266,9 @@
             let timeline = operator.timeline(flags.request.as_deref(), after).await?;
             for record in &timeline.records {
                 after = after.max(record.time);
-                match self.form {
-                    Form::Text => println!("{}", format_record(record)),
-                    Form::Json => print_json(record)?,
+                match self.format {
+                    OutputFormat::Text => println!("{}", format_record(record)),
+                    OutputFormat::Json => print_json(record)?,
                 }
             }
             if !flags.follow {
@@ -279,7 +284,7 @@
             .operator()?
             .timeline(Some(id), HybridTime::default())
             .await?;
-        if self.form == Form::Json {
+        if self.format == OutputFormat::Json {
             return print_json(&timeline);
         }
         print!("{}", explain(&timeline.records));
@@ -288,18 +293,18 @@
     }
 }
 
-fn status_line(line: &InstanceStatus) -> String {
-    if !line.is_reached {
+fn format_status(status: &InstanceStatus) -> String {
+    if !status.is_reached {
         return "not reached".to_owned();
     }
-    let age = match line.config_age_ms {
+    let age = match status.config_age_ms {
         Some(age_ms) => format!("confirmed {age_ms} ms ago"),
         None => "never confirmed".to_owned(),
     };
-    let refused = line.refused.as_deref().map(|r| format!("; refused: {r}"));
+    let refused = status.refused.as_deref().map(|r| format!("; refused: {r}"));
     format!(
         "configuration {}, {age}{}",
-        line.config_version,
+        status.config_version,
         refused.unwrap_or_default()
     )
 }
@@ -307,7 +312,7 @@
 fn warn_unreachable(instances: &[String]) {
     if !instances.is_empty() {
         eprintln!(
-            "not reached, so their part is missing: {}",
+            "not reached, so their records are missing: {}",
             instances.join(", ")
         );
     }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Decisions are told in words.
+//! Descriptions of timeline records.
 
 use iristhread_cli::explain;
 use iristhread_core::Candidate;
@@ -39,12 +39,12 @@
 #[test_case(placed(), "e2: ruled out (paused after failures)"; "candidate ruled out")]
 #[test_case(placed(), "e1: score 0.250 (memory +0.250)"; "candidate with its score")]
 #[test_case(TimelineEvent::Refused { kind: RefusalKind::QueueFull, retry_after_s: 2 }, "come back in 2 s"; "refusal")]
-fn a_story_tells(event: TimelineEvent, expected: &str) {
-    let story = explain(&[record(event)]);
-    assert!(story.contains(expected), "{story}");
+fn description_contains(event: TimelineEvent, expected: &str) {
+    let description = explain(&[record(event)]);
+    assert!(description.contains(expected), "{description}");
 }
 
 #[test]
-fn an_unknown_request_is_said_to_be_unknown() {
+fn unknown_request_is_reported() {
     assert!(explain(&[]).contains("remembers this request"));
 }
