--- a/crates/cli/src/caller.rs
+++ b/crates/cli/src/caller.rs
@@ -69,7 +69,7 @@
 }
 
 /// Result of one connection of a stream.
-enum ConnectionEnd {
+enum ReadResult {
     Done,
     Broken(String),
     Refused(CliError),
@@ -77,7 +77,7 @@
 
 /// State of a stream over all of its connections.
 #[derive(Default)]
-struct Received {
+struct StreamState {
     outcome: CompletionOutcome,
     cursor: Option<String>,
 }
@@ -112,26 +112,24 @@
         body: impl Fn(Vec<String>) -> Body,
         mut on_token: impl FnMut(&str),
     ) -> Result<CompletionOutcome, CliError> {
-        let mut received = Received::default();
+        let mut state = StreamState::default();
         let mut attempts_without_progress = 0;
         let mut cause = String::new();
         for server in self.target.servers.iter().cycle() {
-            let before = received.outcome.tokens.len();
-            received.outcome.connections += 1;
-            let tokens = received.outcome.tokens.clone();
+            let before = state.outcome.tokens.len();
+            state.outcome.connections += 1;
+            let tokens = state.outcome.tokens.clone();
             let uri = format!("{server}{path}");
             match self
-                .read_connection(&uri, &body(tokens), &mut received, &mut on_token)
+                .read_connection(&uri, &body(tokens), &mut state, &mut on_token)
                 .await
             {
-                ConnectionEnd::Done => return Ok(received.outcome),
-                ConnectionEnd::Refused(error) if received.outcome.tokens.is_empty() => {
-                    return Err(error);
-                }
-                ConnectionEnd::Refused(error) => cause = error.to_string(),
-                ConnectionEnd::Broken(message) => cause = message,
+                ReadResult::Done => return Ok(state.outcome),
+                ReadResult::Refused(error) if state.outcome.tokens.is_empty() => return Err(error),
+                ReadResult::Refused(error) => cause = error.to_string(),
+                ReadResult::Broken(message) => cause = message,
             }
-            attempts_without_progress = if received.outcome.tokens.len() > before {
+            attempts_without_progress = if state.outcome.tokens.len() > before {
                 0
             } else {
                 attempts_without_progress + 1
@@ -141,7 +139,7 @@
             }
             tokio::time::sleep(RETRY_DELAY).await;
         }
-        let received = received.outcome.tokens.len();
+        let received = state.outcome.tokens.len();
         Err(CliError::Incomplete { received, cause })
     }
 
@@ -149,50 +147,46 @@
         &self,
         uri: &str,
         body: &Body,
-        received: &mut Received,
+        state: &mut StreamState,
         on_token: &mut impl FnMut(&str),
-    ) -> ConnectionEnd {
+    ) -> ReadResult {
         let key = Some(self.target.key.as_str());
         let request = HttpClient::request(Method::POST, uri, key, Some(body));
         let mut request = match request {
             Ok(request) => request,
-            Err(error) => return ConnectionEnd::Refused(error.into()),
+            Err(error) => return ReadResult::Refused(error.into()),
         };
-        if let Some(Ok(cursor)) = received.cursor.as_ref().map(|c| c.parse()) {
+        if let Some(Ok(cursor)) = state.cursor.as_ref().map(|c| c.parse()) {
             request.headers_mut().insert(LAST_EVENT_ID_HEADER, cursor);
         }
         let answer = tokio::time::timeout(self.stall_timeout, self.client.events(request)).await;
         let (headers, mut events) = match answer {
             Ok(Ok(answer)) => answer,
             Ok(Err(HttpClientError::Status { body, status, .. })) => {
-                return ConnectionEnd::Refused(parse_refusal(status, &body));
+                return ReadResult::Refused(parse_refusal(status, &body));
             }
-            Ok(Err(error)) => return ConnectionEnd::Broken(error.to_string()),
-            Err(_) => return ConnectionEnd::Broken("no answer in time".to_owned()),
+            Ok(Err(error)) => return ReadResult::Broken(error.to_string()),
+            Err(_) => return ReadResult::Broken("no answer in time".to_owned()),
         };
         if let Some(Ok(id)) = headers.get(REQUEST_ID_HEADER).map(|id| id.to_str()) {
-            received.outcome.request = id.split('.').next().unwrap_or(id).to_owned();
+            state.outcome.request = id.split('.').next().unwrap_or(id).to_owned();
         }
         loop {
             let event = match tokio::time::timeout(self.stall_timeout, events.next()).await {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(error))) => return ConnectionEnd::Broken(error.to_string()),
+                Ok(Some(Err(error))) => return ReadResult::Broken(error.to_string()),
                 Ok(None) => break,
-                Err(_) => {
-                    return ConnectionEnd::Broken("no token within the stall timeout".to_owned());
-                }
+                Err(_) => return ReadResult::Broken("timed out waiting for a token".to_owned()),
             };
             if event.data == DONE_MARK {
-                return ConnectionEnd::Done;
+                return ReadResult::Done;
             }
             if event.event == "error" {
-                return ConnectionEnd::Broken(
-                    parse_refusal(StatusCode::OK, &event.data).to_string(),
-                );
+                return ReadResult::Broken(parse_refusal(StatusCode::OK, &event.data).to_string());
             }
-            received.take(&event.id, &event.data, on_token);
+            state.take(&event.id, &event.data, on_token);
         }
-        ConnectionEnd::Broken("the connection closed before the end of the stream".to_owned())
+        ReadResult::Broken("the connection closed before the end of the stream".to_owned())
     }
 
     /// Calls a service. If the call must not be repeated, the instance issues a ticket first, and
@@ -258,7 +252,7 @@
     }
 }
 
-impl Received {
+impl StreamState {
     fn take(&mut self, id: &str, data: &str, on_token: &mut impl FnMut(&str)) {
         let Ok(part) = serde_json::from_str::<Completion>(data) else {
             return;
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -115,9 +115,9 @@
         }
         /// Count the requests in gateway logs by route and cause of a late or failed response.
         cmd losses {
-            /// Maximum time to the first event of a stream, in milliseconds.
+            /// Maximum time to the first event of a stream in time, in milliseconds.
             required --first-event-ms ms: u64
-            /// Maximum gap between two events of a stream, in milliseconds.
+            /// Maximum gap between two events of a stream in time, in milliseconds.
             required --pause-ms ms: u64
             /// Gateway log; may be repeated. Reads standard input if none is given.
             repeated --logs file: PathBuf
