--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -17,7 +17,7 @@
 use crate::prefix_cache::PrefixCache;
 
 /// How long a finished session stays readable.
-const DONE_GRACE: Duration = Duration::from_secs(30);
+const FINISHED_SESSION_RETENTION: Duration = Duration::from_secs(30);
 
 /// Generation and attempt.
 pub type SessionKey = (String, u32);
@@ -116,7 +116,7 @@
     }
 
     /// Whether a session with a prompt runs, for the fault that exits then.
-    pub fn runs_prompt(&self, prompt: &str) -> bool {
+    pub fn is_running_prompt(&self, prompt: &str) -> bool {
         let mut sessions = self.sessions.values();
         sessions.any(|s| s.state == SessionState::Running && s.request.prompt == prompt)
     }
@@ -185,7 +185,7 @@
             let idle = now - session.idle_since;
             let grace = match session.state {
                 SessionState::Waiting | SessionState::Running => orphan_grace,
-                SessionState::Done(_) | SessionState::Cancelled => DONE_GRACE,
+                SessionState::Done(_) | SessionState::Cancelled => FINISHED_SESSION_RETENTION,
             };
             session.readers > 0 || idle < grace
         });
--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -30,10 +30,10 @@
 use crate::engine_session::SessionState;
 use crate::engine_settings::EngineSettings;
 use crate::json_reply;
-use crate::json_reply::Words;
+use crate::json_reply::AnswerNotice;
 
 /// Exit code of the fault that ends the process.
-const DIED: i32 = 86;
+const CRASH_EXIT_CODE: i32 = 86;
 
 #[derive(Clone)]
 struct Server {
@@ -107,9 +107,9 @@
         let dies_at = faults.die_at_token;
         let dies_under = faults.die_under_prompt.as_ref();
         if dies_at.is_some_and(|at| engine.longest() >= at)
-            || dies_under.is_some_and(|prompt| engine.runs_prompt(prompt))
+            || dies_under.is_some_and(|prompt| engine.is_running_prompt(prompt))
         {
-            std::process::exit(DIED);
+            std::process::exit(CRASH_EXIT_CODE);
         }
         drop(engine);
         self.steps.send_modify(|step| *step += 1);
@@ -143,18 +143,18 @@
     let faults = engine.faults.clone();
     if faults.refuse || faults.leaving {
         let mut refused = json_reply::status(StatusCode::SERVICE_UNAVAILABLE);
-        json_reply::say(&mut refused, words(&faults, faults.retry_after.as_deref()));
+        json_reply::set_notice(&mut refused, words(&faults, faults.retry_after.as_deref()));
         return Err(refused);
     }
     let key = engine.start(generate, Instant::now());
     drop(engine);
     let mut stream = server.stream(key);
-    json_reply::say(&mut stream, words(&faults, None));
+    json_reply::set_notice(&mut stream, words(&faults, None));
     Ok(stream)
 }
 
-fn words<'a>(faults: &'a EngineFaults, retry_after: Option<&'a str>) -> Words<'a> {
-    Words {
+fn words<'a>(faults: &'a EngineFaults, retry_after: Option<&'a str>) -> AnswerNotice<'a> {
+    AnswerNotice {
         leaving: faults.say_leaving,
         retry_after,
         limit: faults.say_limit.as_deref(),
@@ -237,7 +237,7 @@
     over: bool,
 }
 
-enum Look {
+enum NextChunk {
     Send(String),
     Wait,
     Close,
@@ -272,14 +272,14 @@
     async fn next(&mut self) -> Option<String> {
         loop {
             match self.look() {
-                Look::Send(chunk) => return Some(chunk),
-                Look::Close => return None,
-                Look::Wait => self.steps.changed().await.ok()?,
+                NextChunk::Send(chunk) => return Some(chunk),
+                NextChunk::Close => return None,
+                NextChunk::Wait => self.steps.changed().await.ok()?,
             }
         }
     }
 
-    fn look(&mut self) -> Look {
+    fn look(&mut self) -> NextChunk {
         let server = self.server.clone();
         let engine = server.lock();
         let reset = engine
@@ -287,36 +287,36 @@
             .reset_after
             .is_some_and(|after| self.sent >= after);
         if self.over || reset {
-            return Look::Close;
+            return NextChunk::Close;
         }
         if engine.faults.stall {
-            return Look::Wait;
+            return NextChunk::Wait;
         }
         let Some(session) = engine.sessions.get(&self.key) else {
-            return Look::Close;
+            return NextChunk::Close;
         };
         if session.preemptions > self.preemptions {
             self.preemptions = session.preemptions;
             let (generation, attempt) = self.key.clone();
-            return Look::Send(frame(&EngineEvent::Preempted {
+            return NextChunk::Send(frame(&EngineEvent::Preempted {
                 generation,
                 attempt,
             }));
         }
         if self.next < session.generated() {
             let text = session.tokens[self.next as usize].clone();
-            return Look::Send(self.token(&engine.faults, &text));
+            return NextChunk::Send(self.token(&engine.faults, &text));
         }
         match session.state {
-            SessionState::Waiting | SessionState::Running => Look::Wait,
-            SessionState::Cancelled => Look::Close,
+            SessionState::Waiting | SessionState::Running => NextChunk::Wait,
+            SessionState::Cancelled => NextChunk::Close,
             SessionState::Done(reason) => {
                 self.over = true;
                 if engine.faults.omit_end {
-                    return Look::Close;
+                    return NextChunk::Close;
                 }
                 let (generation, attempt) = self.key.clone();
-                Look::Send(frame(&EngineEvent::End {
+                NextChunk::Send(frame(&EngineEvent::End {
                     generation,
                     attempt,
                     total: session.generated(),
--- a/crates/standin/src/json_reply.rs
+++ b/crates/standin/src/json_reply.rs
@@ -48,7 +48,7 @@
 
 /// What an answer says of its server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Words<'a> {
+pub struct AnswerNotice<'a> {
     /// It leaves.
     pub leaving: bool,
     /// When to come back.
@@ -58,7 +58,7 @@
 }
 
 /// Puts into an answer what it says of its server.
-pub fn say(response: &mut Response, words: Words<'_>) {
+pub fn set_notice(response: &mut Response, words: AnswerNotice<'_>) {
     let headers = response.headers_mut();
     if words.leaving {
         headers.insert(LEAVING_HEADER, HeaderValue::from_static("1"));
--- a/crates/standin/src/platform_state.rs
+++ b/crates/standin/src/platform_state.rs
@@ -11,7 +11,7 @@
 use iristhread_core::InstanceEntry;
 
 /// Span over which reads are counted against the budget.
-const BUDGET_SPAN: Duration = Duration::from_secs(1);
+const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
 /// State of the platform.
 #[derive(Debug)]
@@ -72,7 +72,7 @@
     /// Counts a read; `false` when the budget of this second is spent.
     pub fn count_read(&mut self, now: Instant) -> bool {
         self.count.reads += 1;
-        if now - self.span.0 >= BUDGET_SPAN {
+        if now - self.span.0 >= BUDGET_WINDOW {
             self.span = (now, 0);
         }
         self.span.1 += 1;
--- a/crates/standin/src/service_server.rs
+++ b/crates/standin/src/service_server.rs
@@ -24,10 +24,10 @@
 use viz::header::HeaderValue;
 
 use crate::json_reply;
-use crate::json_reply::Words;
+use crate::json_reply::AnswerNotice;
 
 /// Exit code of the fault that ends the process.
-const DIED: i32 = 86;
+const CRASH_EXIT_CODE: i32 = 86;
 
 /// Settings of one runner.
 #[derive(Clone, Debug, Default)]
@@ -103,12 +103,12 @@
     };
     let mut response = call(state, request).await?;
     let retry_after = faults.retry_after.as_deref().filter(|_| faults.refuse);
-    let words = Words {
+    let words = AnswerNotice {
         leaving: faults.say_leaving,
         retry_after,
         limit: faults.say_limit.as_deref(),
     };
-    json_reply::say(&mut response, words);
+    json_reply::set_notice(&mut response, words);
     Ok(response)
 }
 
@@ -132,7 +132,7 @@
     let answer = execute(&mut lock(&state), key, body);
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.die {
-        std::process::exit(DIED);
+        std::process::exit(CRASH_EXIT_CODE);
     }
     if take(&mut lock(&state).faults.drop_after) {
         return Ok(broken());
