--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,8 +1,8 @@
-//! What the engine stand-in generates: a function of prompt and position, so a
-//! test can tell a lost, doubled or foreign token from a right one.
+//! Tokens that the engine stand-in generates: a function of prompt and position, so that a
+//! test can detect a token that is lost, duplicated or from another request.
 
-/// Words that answers are made of.
-const WORDS: [&str; 32] = [
+/// Vocabulary of the generated answers.
+const VOCABULARY: [&str; 32] = [
     "spindle",
     "hours",
     "at",
@@ -37,33 +37,34 @@
     "today.",
 ];
 
-/// A prompt that contains `[tokens=N]` is answered with N tokens.
+/// Start of the mark `[tokens=N]`; a prompt that contains it is answered with N tokens.
 const LENGTH_MARK: &str = "[tokens=";
 
-/// Median and shape of the lengths of other prompts (a log-logistic tail).
+/// Median and shape of the answer lengths for other prompts: a log-logistic distribution, for
+/// its heavy tail.
 const MEDIAN_TOKENS: f64 = 60.0;
 const TAIL_SHAPE: f64 = 1.8;
 const MAX_TOKENS: f64 = 4_000.0;
 
-/// The token of an answer at a position.
+/// The token at a position of the answer, counted from 0.
 pub fn expected_token(prompt: &str, position: u32) -> String {
-    let draw = draw(prompt, u64::from(position) + 1);
-    let word = WORDS[(draw % WORDS.len() as u64) as usize];
+    let hash = hash(prompt, u64::from(position) + 1);
+    let word = VOCABULARY[(hash % VOCABULARY.len() as u64) as usize];
     format!("{word} ")
 }
 
-/// How many tokens a prompt is answered with, if no limit cuts it.
+/// Length of the answer to a prompt, in tokens, if no limit cuts it.
 pub fn expected_length(prompt: &str) -> u32 {
     if let Some(length) = marked_length(prompt) {
         return length;
     }
-    let share = draw(prompt, 0) as f64 / u64::MAX as f64;
-    let odds = share / (1.0 - share).max(1e-9);
+    let quantile = hash(prompt, 0) as f64 / u64::MAX as f64;
+    let odds = quantile / (1.0 - quantile).max(1e-9);
     let tokens = MEDIAN_TOKENS * odds.powf(1.0 / TAIL_SHAPE);
     tokens.clamp(1.0, MAX_TOKENS) as u32
 }
 
-/// The whole answer to a prompt.
+/// The answer to a prompt, cut to `max_tokens`.
 pub fn expected_answer(prompt: &str, max_tokens: u32) -> Vec<String> {
     let length = expected_length(prompt).min(max_tokens);
     (0..length)
@@ -77,7 +78,7 @@
     number.parse().ok()
 }
 
-fn draw(prompt: &str, salt: u64) -> u64 {
+fn hash(prompt: &str, salt: u64) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&salt.to_le_bytes());
     hasher.update(prompt.as_bytes());
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! The engine stand-in: continuous batching with memory that can run out in
-//! the middle of decoding.
+//! The engine stand-in: continuous batching with a memory limit. Memory can run out during
+//! decoding; sessions are then preempted.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,13 +16,14 @@
 use crate::engine_settings::EngineSettings;
 use crate::prefix_cache::PrefixCache;
 
-/// How long a finished session stays readable.
+/// Time for which a finished session stays readable without a reader.
 const FINISHED_SESSION_RETENTION: Duration = Duration::from_secs(30);
 
-/// Generation and attempt.
+/// Generation id and attempt number.
 pub type SessionKey = (String, u32);
 
-/// State of one engine; a step is one token for each running session.
+/// State of one engine. A step generates one token for each running session, or reads a part of
+/// its prompt.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) settings: EngineSettings,
@@ -35,12 +36,12 @@
     sequence: u64,
     highest_fence: u64,
     adapters: Vec<String>,
-    /// New sessions and questions after the load that reached it.
+    /// Number of requests received for new sessions and for the load.
     pub(crate) arrivals: u64,
 }
 
 impl Engine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(settings: EngineSettings) -> Self {
         Engine {
             cache: PrefixCache::new(settings.cache_tokens),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Starts a session, or finds it when it is there.
+    /// Starts a session, or takes over the existing one for the reader of this request.
     pub fn start(&mut self, request: GenerateRequest, now: Instant) -> SessionKey {
         let key = (request.generation.clone(), request.attempt);
         self.orders += 1;
@@ -71,7 +72,7 @@
         key
     }
 
-    /// Cancels a session unless a newer reader has attached.
+    /// Cancels a session; returns `false` if it is gone or a newer reader has attached.
     pub fn cancel(&mut self, key: &SessionKey, reader: &str) -> bool {
         let Some(session) = self.sessions.get_mut(key) else {
             return false;
@@ -83,8 +84,9 @@
         true
     }
 
-    /// Takes an order; a lower fence is refused if this engine checks fences.
-    pub fn order(&mut self, order: FencedOrder) -> bool {
+    /// Applies an order. Returns `false` if the engine checks fences and the order's fence is lower
+    /// than one seen before.
+    pub fn apply_order(&mut self, order: FencedOrder) -> bool {
         if self.settings.checks_fences && order.fence < self.highest_fence {
             return false;
         }
@@ -93,7 +95,7 @@
         true
     }
 
-    /// One decoding step.
+    /// Runs one decoding step; does nothing under the `stall` fault.
     pub fn step(&mut self, now: Instant) {
         if self.faults.stall {
             return;
@@ -104,24 +106,24 @@
                 session.step(self.settings.prefill_per_step);
             }
         }
-        self.give_way();
-        self.clean(now);
+        self.preempt_until_fits();
+        self.drop_expired(now);
         self.report(now);
     }
 
-    /// Tokens of the longest session, for the fault that exits there.
+    /// Tokens of the longest session, for the fault that exits at a token count.
     pub fn longest(&self) -> u32 {
         let lengths = self.sessions.values().map(EngineSession::generated);
         lengths.max().unwrap_or(0)
     }
 
-    /// Whether a session with a prompt runs, for the fault that exits then.
+    /// Whether a session with this prompt is running, for the fault that exits under a prompt.
     pub fn is_running_prompt(&self, prompt: &str) -> bool {
         let mut sessions = self.sessions.values();
         sessions.any(|s| s.state == SessionState::Running && s.request.prompt == prompt)
     }
 
-    /// The load report of a while ago.
+    /// The newest load report that is at least `report_lag` old, else the oldest one.
     pub fn load(&self, now: Instant) -> LoadReport {
         let old_enough = |(at, _): &&(Instant, LoadReport)| now - *at >= self.settings.report_lag;
         let found = self.reports.iter().rev().find(old_enough);
@@ -140,7 +142,8 @@
         self.running().map(EngineSession::size).sum()
     }
 
-    /// Lets waiting sessions in: by priority, then in order of arrival.
+    /// Admits waiting sessions by priority, then in order of arrival, up to the first that finds no
+    /// room in the batch or in memory. An idle engine admits one session whatever its size.
     fn admit(&mut self) {
         let waiting = |s: &&mut EngineSession| s.state == SessionState::Waiting;
         let mut used = self.used();
@@ -161,9 +164,9 @@
         }
     }
 
-    /// Displaces sessions until the rest fits: lowest priority first, then the
-    /// one that came last.
-    fn give_way(&mut self) {
+    /// Preempts sessions until the others fit into memory: lowest priority first, then the
+    /// latest arrival. The last running session is never preempted.
+    fn preempt_until_fits(&mut self) {
         while self.used() > self.settings.memory_tokens && self.running().count() > 1 {
             let victim = self
                 .sessions
@@ -179,7 +182,7 @@
         }
     }
 
-    fn clean(&mut self, now: Instant) {
+    fn drop_expired(&mut self, now: Instant) {
         let orphan_grace = self.settings.orphan_grace;
         self.sessions.retain(|_, session| {
             let idle = now - session.idle_since;
--- a/crates/standin/src/engine_server.rs
+++ b/crates/standin/src/engine_server.rs
@@ -1,4 +1,4 @@
-//! HTTP side of the engine stand-in.
+//! HTTP server of the engine stand-in.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -32,7 +32,7 @@
 use crate::json_reply;
 use crate::json_reply::AnswerNotice;
 
-/// Exit code of the fault that ends the process.
+/// Exit code of the faults that end the process.
 const CRASH_EXIT_CODE: i32 = 86;
 
 #[derive(Clone)]
@@ -63,7 +63,7 @@
         .get("/generate/:generation/:attempt", server.handler(attach))
         .delete("/generate/:generation/:attempt", server.handler(cancel))
         .get("/load", server.handler(load))
-        .post("/orders", server.handler(order))
+        .post("/orders", server.handler(apply_order))
         .get("/arrivals", server.handler(arrivals))
         .post("/faults", server.handler(set_faults));
     viz::serve(listener, router).await
@@ -104,10 +104,10 @@
         let mut engine = self.lock();
         engine.step(Instant::now());
         let faults = &engine.faults;
-        let dies_at = faults.die_at_token;
-        let dies_under = faults.die_under_prompt.as_ref();
-        if dies_at.is_some_and(|at| engine.longest() >= at)
-            || dies_under.is_some_and(|prompt| engine.is_running_prompt(prompt))
+        let crash_at_token = faults.die_at_token;
+        let crash_under_prompt = faults.die_under_prompt.as_ref();
+        if crash_at_token.is_some_and(|at| engine.longest() >= at)
+            || crash_under_prompt.is_some_and(|prompt| engine.is_running_prompt(prompt))
         {
             std::process::exit(CRASH_EXIT_CODE);
         }
@@ -143,17 +143,20 @@
     let faults = engine.faults.clone();
     if faults.refuse || faults.leaving {
         let mut refused = json_reply::status(StatusCode::SERVICE_UNAVAILABLE);
-        json_reply::set_notice(&mut refused, words(&faults, faults.retry_after.as_deref()));
+        json_reply::set_notice(
+            &mut refused,
+            answer_notice(&faults, faults.retry_after.as_deref()),
+        );
         return Err(refused);
     }
     let key = engine.start(generate, Instant::now());
     drop(engine);
     let mut stream = server.stream(key);
-    json_reply::set_notice(&mut stream, words(&faults, None));
+    json_reply::set_notice(&mut stream, answer_notice(&faults, None));
     Ok(stream)
 }
 
-fn words<'a>(faults: &'a EngineFaults, retry_after: Option<&'a str>) -> AnswerNotice<'a> {
+fn answer_notice<'a>(faults: &'a EngineFaults, retry_after: Option<&'a str>) -> AnswerNotice<'a> {
     AnswerNotice {
         leaving: faults.say_leaving,
         retry_after,
@@ -161,13 +164,13 @@
     }
 }
 
-/// Sessions that reached it, refused ones too, and questions after its load.
+/// Returns the number of requests for new sessions, refused ones included, and for the load.
 async fn arrivals(server: Server, _: Request) -> Result<Response, Response> {
     Ok(json_reply::json(&server.lock().arrivals))
 }
 
 async fn attach(server: Server, request: Request) -> Result<Response, Response> {
-    let (key, reader) = target(&request).ok_or_else(unusable)?;
+    let (key, reader) = target(&request).ok_or_else(bad_request)?;
     let mut engine = server.lock();
     let gone = json_reply::status(StatusCode::NOT_FOUND);
     let session = engine.sessions.get_mut(&key).ok_or(gone)?;
@@ -180,7 +183,7 @@
 }
 
 async fn cancel(server: Server, request: Request) -> Result<Response, Response> {
-    let (key, reader) = target(&request).ok_or_else(unusable)?;
+    let (key, reader) = target(&request).ok_or_else(bad_request)?;
     let cancelled = server.lock().cancel(&key, &reader);
     let status = if cancelled {
         StatusCode::NO_CONTENT
@@ -197,10 +200,10 @@
     Ok(json_reply::json(&report))
 }
 
-async fn order(server: Server, mut request: Request) -> Result<Response, Response> {
+async fn apply_order(server: Server, mut request: Request) -> Result<Response, Response> {
     let order: FencedOrder = json_reply::parse(&mut request).await?;
-    let taken = server.lock().order(order);
-    let status = if taken {
+    let applied = server.lock().apply_order(order);
+    let status = if applied {
         StatusCode::NO_CONTENT
     } else {
         StatusCode::CONFLICT
@@ -214,7 +217,7 @@
     Ok(json_reply::status(StatusCode::NO_CONTENT))
 }
 
-fn unusable() -> Response {
+fn bad_request() -> Response {
     json_reply::status(StatusCode::BAD_REQUEST)
 }
 
@@ -225,8 +228,8 @@
     Some(((generation, attempt), query.reader))
 }
 
-/// Reads one session from position 0 (or after the tokens that it was started
-/// with) and follows it.
+/// Streams one session from position 0, or after the tokens that it was started
+/// with, until it ends.
 struct Reader {
     server: Server,
     key: SessionKey,
@@ -234,7 +237,7 @@
     next: u32,
     sent: u32,
     preemptions: u32,
-    over: bool,
+    is_finished: bool,
 }
 
 enum NextChunk {
@@ -265,13 +268,13 @@
             next,
             sent: 0,
             preemptions,
-            over: false,
+            is_finished: false,
         }
     }
 
     async fn next(&mut self) -> Option<String> {
         loop {
-            match self.look() {
+            match self.next_chunk() {
                 NextChunk::Send(chunk) => return Some(chunk),
                 NextChunk::Close => return None,
                 NextChunk::Wait => self.steps.changed().await.ok()?,
@@ -279,14 +282,14 @@
         }
     }
 
-    fn look(&mut self) -> NextChunk {
+    fn next_chunk(&mut self) -> NextChunk {
         let server = self.server.clone();
         let engine = server.lock();
         let reset = engine
             .faults
             .reset_after
             .is_some_and(|after| self.sent >= after);
-        if self.over || reset {
+        if self.is_finished || reset {
             return NextChunk::Close;
         }
         if engine.faults.stall {
@@ -311,7 +314,7 @@
             SessionState::Waiting | SessionState::Running => NextChunk::Wait,
             SessionState::Cancelled => NextChunk::Close,
             SessionState::Done(reason) => {
-                self.over = true;
+                self.is_finished = true;
                 if engine.faults.omit_end {
                     return NextChunk::Close;
                 }
--- a/crates/standin/src/engine_session.rs
+++ b/crates/standin/src/engine_session.rs
@@ -8,20 +8,20 @@
 use crate::answer::expected_length;
 use crate::answer::expected_token;
 
-/// Where a session stands.
+/// State of a session.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SessionState {
-    /// Not in memory: waits for room.
+    /// Not in memory; waits for room.
     Waiting,
-    /// Prompt being read or tokens being generated.
+    /// The prompt is being read or tokens are being generated.
     Running,
-    /// Complete.
+    /// Complete, for this reason.
     Done(EndReason),
-    /// Ended without its end mark.
+    /// Cancelled; its stream closes without an end event.
     Cancelled,
 }
 
-/// A session with all that was generated, so that a reader can attach at any
+/// A session with all tokens generated so far, so that a reader can attach at any
 /// time.
 #[derive(Clone, Debug)]
 pub struct EngineSession {
@@ -51,18 +51,18 @@
         }
     }
 
-    /// Memory that it takes, in tokens.
+    /// Memory that the session takes, in tokens: prompt and answer.
     pub fn size(&self) -> u64 {
         let prompt = self.request.prompt.split_whitespace().count();
         (prompt + self.tokens.len()) as u64
     }
 
-    /// Number of tokens so far, all attempts.
+    /// Number of tokens so far, including those received from earlier attempts.
     pub fn generated(&self) -> u32 {
         u32::try_from(self.tokens.len()).unwrap_or(u32::MAX)
     }
 
-    /// One decoding step: reads a part of the prompt or adds a token.
+    /// Runs one decoding step: reads a part of the prompt or adds a token.
     pub fn step(&mut self, prefill_per_step: u32) {
         if self.prefill_left > 0 {
             self.prefill_left = self.prefill_left.saturating_sub(prefill_per_step);
--- a/crates/standin/src/engine_settings.rs
+++ b/crates/standin/src/engine_settings.rs
@@ -1,25 +1,25 @@
-//! Size and pace of the engine stand-in.
+//! Capacity and timing of the engine stand-in.
 
 use std::time::Duration;
 
 /// Settings of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Memory for generations, in tokens.
+    /// Memory for running sessions, in tokens.
     pub memory_tokens: u64,
-    /// Prefix cache, in tokens.
+    /// Size of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// Sessions decoded at once.
+    /// Maximum number of sessions decoded at once.
     pub max_batch: usize,
-    /// Time of one decoding step.
+    /// Duration of one decoding step.
     pub step: Duration,
     /// Prompt tokens read per step.
     pub prefill_per_step: u32,
-    /// Lag of load reports.
+    /// Age of the load reports that are served.
     pub report_lag: Duration,
-    /// Whether orders with an old fence are refused.
+    /// Whether orders with a lower fence than one seen before are refused.
     pub checks_fences: bool,
-    /// Time after which a generation without a reader is dropped.
+    /// Time after which an unfinished session without a reader is dropped.
     pub orphan_grace: Duration,
 }
 
--- a/crates/standin/src/flags.rs
+++ b/crates/standin/src/flags.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 xflags::xflags! {
-    /// Stand-ins of the systems around iristhread, for tests and the demo.
+    /// Stand-ins for the systems around iristhread, for tests and the demo.
     cmd iristhread-standin {
         /// A model engine.
         cmd engine {
@@ -15,29 +15,29 @@
             optional --listen address: SocketAddr
             /// Memory for generations, in tokens.
             optional --memory-tokens tokens: u64
-            /// Time of one decoding step, in milliseconds.
+            /// Duration of one decoding step, in milliseconds.
             optional --step-ms step_ms: u64
-            /// Sessions decoded at once.
+            /// Maximum number of sessions decoded at once.
             optional --max-batch sessions: usize
-            /// Lag of load reports, in milliseconds.
+            /// Age of the load reports that are served, in milliseconds.
             optional --report-lag-ms lag_ms: u64
-            /// Time after which a generation that nobody reads is dropped.
+            /// Time after which a generation without a reader is dropped, in milliseconds.
             optional --orphan-grace-ms grace_ms: u64
-            /// Take orders whatever their fence.
+            /// Accept orders regardless of their fence.
             optional --ignore-fences
         }
         /// A plain service.
         cmd service {
             /// Address to listen on; port 0 takes a free one.
             optional --listen address: SocketAddr
-            /// Answer a key that was executed before without executing again.
+            /// Answer a repeated idempotency key without executing the call again.
             optional --checks-keys
         }
         /// The platform: configuration and instance list.
         cmd platform {
             /// Address to listen on; port 0 takes a free one.
             optional --listen address: SocketAddr
-            /// Reads a second that are answered.
+            /// Reads per second that are answered; more are refused.
             optional --reads-per-s reads: u64
         }
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,5 @@
-//! Small stand-ins of the outside systems, for tests and the demo: an engine,
-//! a plain service and the platform. Each is its own process; faults are
-//! switched on by a request.
+//! Stand-ins for the external systems, for tests and the demo: an engine, a plain service and
+//! the platform. Each runs as its own process; faults are switched on by a request.
 
 mod answer;
 mod engine;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `iristhread-standin`: small stand-ins of the outside systems, one per
+//! `iristhread-standin`: stand-ins for the external systems, one per
 //! process. Each prints `listening ADDRESS` once it accepts connections.
 
 use std::io::Write;
--- a/crates/standin/src/platform_server.rs
+++ b/crates/standin/src/platform_server.rs
@@ -1,4 +1,4 @@
-//! HTTP side of the platform stand-in.
+//! HTTP server of the platform stand-in.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -20,7 +20,7 @@
 use crate::json_reply;
 use crate::platform_state::PlatformState;
 
-/// Longest wait of one watch.
+/// Maximum time that one watch waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
 #[derive(Clone)]
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum What {
+enum ReadTarget {
     Config,
     Instances,
 }
@@ -59,13 +59,15 @@
     let (faulty, counted) = (server.clone(), server);
     let router = Router::new()
         .get("/config", move |r: Request| {
-            config.clone().read(r, What::Config)
+            config.clone().read(r, ReadTarget::Config)
         })
         .get("/instances", move |r: Request| {
-            instances.clone().read(r, What::Instances)
+            instances.clone().read(r, ReadTarget::Instances)
         })
         .put("/config", move |r: Request| publish(publish_to.clone(), r))
-        .put("/instances", move |r: Request| list(list_to.clone(), r))
+        .put("/instances", move |r: Request| {
+            set_instances(list_to.clone(), r)
+        })
         .post("/faults", move |r: Request| set_faults(faulty.clone(), r))
         .get("/reads", move |_: Request| {
             let count = counted.lock().count;
@@ -83,7 +85,7 @@
         self.changes.send_modify(|change| *change += 1);
     }
 
-    async fn read(self, request: Request, what: What) -> Result<Response> {
+    async fn read(self, request: Request, target: ReadTarget) -> Result<Response> {
         let Ok(query) = request.query::<ReadQuery>() else {
             return Ok(json_reply::status(StatusCode::BAD_REQUEST));
         };
@@ -91,17 +93,17 @@
             return Ok(json_reply::status(StatusCode::TOO_MANY_REQUESTS));
         }
         self.lock().count.waiting += 1;
-        let answer = self.answer_in_time(query, what).await;
+        let answer = self.answer_or_time_out(query, target).await;
         self.lock().count.waiting -= 1;
         Ok(answer)
     }
 
-    async fn answer_in_time(&self, query: ReadQuery, what: What) -> Response {
+    async fn answer_or_time_out(&self, query: ReadQuery, target: ReadTarget) -> Response {
         let mut changes = self.changes.subscribe();
         let wait = Duration::from_millis(query.wait_ms).min(MAX_WAIT);
         let watch = async {
             loop {
-                if let Some(answer) = self.answer(query.after, what) {
+                if let Some(answer) = self.answer(query.after, target) {
                     return answer;
                 }
                 if changes.changed().await.is_err() {
@@ -115,17 +117,17 @@
             .unwrap_or_else(|_| unchanged())
     }
 
-    fn answer(&self, after: u64, what: What) -> Option<Response> {
+    fn answer(&self, after: u64, target: ReadTarget) -> Option<Response> {
         let state = self.lock();
         if state.faults.outage {
             return Some(json_reply::status(StatusCode::SERVICE_UNAVAILABLE));
         }
-        match what {
-            What::Config => {
+        match target {
+            ReadTarget::Config => {
                 let config = state.config().filter(|config| config.version != after)?;
                 Some(json_reply::json(&config))
             }
-            What::Instances => {
+            ReadTarget::Instances => {
                 let instances = state.instances();
                 (instances.version != after).then(|| json_reply::json(instances))
             }
@@ -143,9 +145,9 @@
     Ok(json_reply::json(&version))
 }
 
-async fn list(server: Server, mut request: Request) -> Result<Response> {
+async fn set_instances(server: Server, mut request: Request) -> Result<Response> {
     match json_reply::parse(&mut request).await {
-        Ok(entries) => server.lock().list(entries),
+        Ok(entries) => server.lock().set_instances(entries),
         Err(refusal) => return Ok(refusal),
     }
     server.changed();
--- a/crates/standin/src/platform_state.rs
+++ b/crates/standin/src/platform_state.rs
@@ -1,4 +1,4 @@
-//! What the platform stand-in holds: versions, lists, read budget, faults.
+//! State of the platform stand-in: configuration versions, instance list, read budget, faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use iristhread_api::ReadCount;
 use iristhread_core::InstanceEntry;
 
-/// Span over which reads are counted against the budget.
+/// Window over which reads are counted against the budget.
 const BUDGET_WINDOW: Duration = Duration::from_secs(1);
 
 /// State of the platform.
@@ -19,25 +19,26 @@
     pub(crate) faults: PlatformFaults,
     pub(crate) count: ReadCount,
     budget_per_s: u64,
-    span: (Instant, u64),
+    /// Start of the current window, and the reads counted in it.
+    window: (Instant, u64),
     versions: BTreeMap<u64, serde_json::Value>,
     instances: InstancesReply,
 }
 
 impl PlatformState {
-    /// A platform with nothing published and a read budget a second.
+    /// Creates a platform with nothing published and a read budget in reads per second.
     pub fn new(budget_per_s: u64) -> Self {
         PlatformState {
             faults: PlatformFaults::default(),
             count: ReadCount::default(),
             budget_per_s,
-            span: (Instant::now(), 0),
+            window: (Instant::now(), 0),
             versions: BTreeMap::new(),
             instances: InstancesReply::default(),
         }
     }
 
-    /// Publishes a document and returns its version.
+    /// Publishes a configuration document and returns its version.
     pub fn publish(&mut self, document: serde_json::Value) -> u64 {
         let version = self.versions.keys().next_back().unwrap_or(&0) + 1;
         self.versions.insert(version, document);
@@ -45,12 +46,13 @@
     }
 
     /// Replaces the instance list.
-    pub fn list(&mut self, entries: Vec<InstanceEntry>) {
+    pub fn set_instances(&mut self, entries: Vec<InstanceEntry>) {
         self.instances.version += 1;
         self.instances.entries = entries;
     }
 
-    /// The configuration that a read is answered with.
+    /// The configuration to answer reads with: the version that the `stale_version` fault names, if
+    /// it exists, else the newest.
     pub fn config(&self) -> Option<ConfigReply> {
         let newest = self.versions.iter().next_back();
         let stale = self.faults.stale_version;
@@ -64,22 +66,22 @@
         })
     }
 
-    /// The instance list that a read is answered with.
+    /// The instance list to answer reads with.
     pub fn instances(&self) -> &InstancesReply {
         &self.instances
     }
 
-    /// Counts a read; `false` when the budget of this second is spent.
+    /// Counts a read; returns `false` if the budget of the current window is used up.
     pub fn count_read(&mut self, now: Instant) -> bool {
         self.count.reads += 1;
-        if now - self.span.0 >= BUDGET_WINDOW {
-            self.span = (now, 0);
+        if now - self.window.0 >= BUDGET_WINDOW {
+            self.window = (now, 0);
         }
-        self.span.1 += 1;
-        let within = self.span.1 <= self.budget_per_s;
-        if !within {
+        self.window.1 += 1;
+        let is_allowed = self.window.1 <= self.budget_per_s;
+        if !is_allowed {
             self.count.refused += 1;
         }
-        within
+        is_allowed
     }
 }
--- a/crates/standin/src/prefix_cache.rs
+++ b/crates/standin/src/prefix_cache.rs
@@ -1,11 +1,11 @@
-//! A prefix cache of limited size; least recently used prompts go first.
+//! A prefix cache of limited size that evicts the least recently used prefix first.
 
 use std::collections::VecDeque;
 
-/// Words of a prompt that count as its shared prefix.
+/// Number of leading words of a prompt that form its shared prefix.
 const PREFIX_WORDS: usize = 16;
 
-/// Remembers prefixes with their sizes in tokens.
+/// Prefixes with their sizes in tokens, least recently used first.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     capacity: u64,
@@ -14,7 +14,7 @@
 }
 
 impl PrefixCache {
-    /// A cache of `capacity` tokens.
+    /// Creates an empty cache of `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
         PrefixCache {
             capacity,
@@ -22,22 +22,23 @@
         }
     }
 
-    /// Uses the prefix of a prompt; returns the tokens that need not be read.
+    /// Marks the prefix of a prompt as used and caches it. Returns the number of tokens that were
+    /// cached already and need no prefill.
     pub fn touch(&mut self, prompt: &str) -> u32 {
         let words: Vec<&str> = prompt.split_whitespace().take(PREFIX_WORDS).collect();
         let size = words.len() as u64;
         let prefix = words.join(" ");
-        let place = self.prefixes.iter().position(|(known, _)| *known == prefix);
-        let hit = place.and_then(|place| self.prefixes.remove(place));
+        let index = self.prefixes.iter().position(|(known, _)| *known == prefix);
+        let hit = index.and_then(|index| self.prefixes.remove(index));
         if hit.is_none() {
             self.used += size;
         }
         self.prefixes.push_back((prefix, size));
-        self.shrink();
+        self.evict();
         u32::try_from(hit.map_or(0, |(_, size)| size)).unwrap_or(u32::MAX)
     }
 
-    fn shrink(&mut self) {
+    fn evict(&mut self) {
         while self.used > self.capacity {
             let Some((_, size)) = self.prefixes.pop_front() else {
                 return;
--- a/crates/standin/src/service_server.rs
+++ b/crates/standin/src/service_server.rs
@@ -1,4 +1,4 @@
-//! The plain service stand-in; it counts each execution by key and by body.
+//! The plain service stand-in. It counts executions by idempotency key and by body.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,10 +29,10 @@
 /// Exit code of the fault that ends the process.
 const CRASH_EXIT_CODE: i32 = 86;
 
-/// Settings of one runner.
+/// Settings of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceSettings {
-    /// Whether a key that was executed before is answered without executing.
+    /// Whether a repeated idempotency key gets the stored answer and is not executed again.
     pub checks_keys: bool,
 }
 
@@ -43,13 +43,13 @@
     executions: Executions,
     answers: BTreeMap<String, ServiceAnswer>,
     count: u64,
-    /// Calls that reached it, refused ones too.
+    /// Number of calls received, refused ones included.
     arrivals: u64,
 }
 
 type Shared = Arc<Mutex<State>>;
 
-/// Serves one runner until the process ends.
+/// Serves one service until the process ends.
 ///
 /// # Errors
 ///
@@ -78,7 +78,7 @@
             async move { Ok::<_, viz::Error>(json_reply::json(&arrivals)) }
         })
         .any("/*", move |request: Request| {
-            answered(state.clone(), request)
+            answer_call(state.clone(), request)
         });
     viz::serve(listener, router).await
 }
@@ -95,7 +95,7 @@
     Ok(json_reply::status(StatusCode::NO_CONTENT))
 }
 
-async fn answered(state: Shared, request: Request) -> Result<Response> {
+async fn answer_call(state: Shared, request: Request) -> Result<Response> {
     let faults = {
         let mut state = lock(&state);
         state.arrivals += 1;
@@ -103,12 +103,12 @@
     };
     let mut response = call(state, request).await?;
     let retry_after = faults.retry_after.as_deref().filter(|_| faults.refuse);
-    let words = AnswerNotice {
+    let notice = AnswerNotice {
         leaving: faults.say_leaving,
         retry_after,
         limit: faults.say_limit.as_deref(),
     };
-    json_reply::set_notice(&mut response, words);
+    json_reply::set_notice(&mut response, notice);
     Ok(response)
 }
 
@@ -122,11 +122,11 @@
     if faults.refuse {
         return Ok(refused());
     }
-    if take(&mut lock(&state).faults.drop_before) {
-        return Ok(broken());
+    if consume_fault(&mut lock(&state).faults.drop_before) {
+        return Ok(cut_before_body());
     }
-    let known = known_answer(&lock(&state), &key);
-    if let Some(answer) = known {
+    let stored = stored_answer(&lock(&state), &key);
+    if let Some(answer) = stored {
         return Ok(json_reply::json(&answer));
     }
     let answer = execute(&mut lock(&state), key, body);
@@ -134,13 +134,13 @@
     if faults.die {
         std::process::exit(CRASH_EXIT_CODE);
     }
-    if take(&mut lock(&state).faults.drop_after) {
-        return Ok(broken());
+    if consume_fault(&mut lock(&state).faults.drop_after) {
+        return Ok(cut_before_body());
     }
     Ok(json_reply::json(&answer))
 }
 
-/// A refusal that says itself that nothing ran.
+/// A refusal whose outcome header says that the call was not run.
 fn refused() -> Response {
     let mut response = json_reply::status(StatusCode::SERVICE_UNAVAILABLE);
     let not_run = HeaderValue::from_static(Outcome::NotRun.as_str());
@@ -148,13 +148,13 @@
     response
 }
 
-fn take(left: &mut u32) -> bool {
-    let some = *left > 0;
+fn consume_fault(left: &mut u32) -> bool {
+    let is_active = *left > 0;
     *left = left.saturating_sub(1);
-    some
+    is_active
 }
 
-fn known_answer(state: &State, key: &str) -> Option<ServiceAnswer> {
+fn stored_answer(state: &State, key: &str) -> Option<ServiceAnswer> {
     if !state.settings.checks_keys {
         return None;
     }
@@ -174,9 +174,9 @@
     answer
 }
 
-/// An answer whose body fails at once, so that the connection is cut before
-/// any byte of it is sent.
-fn broken() -> Response {
+/// An answer whose body fails at once, so that the connection breaks before any byte of the
+/// answer is sent.
+fn cut_before_body() -> Response {
     let cut = futures::stream::once(async { Err::<String, _>(std::io::Error::other("cut")) });
     Response::new(Body::from_stream(cut))
 }
--- a/crates/standin/tests/answer.rs
+++ b/crates/standin/tests/answer.rs
@@ -1,4 +1,5 @@
-//! Answers of the engine stand-in are a function of prompt and position.
+//! The answers of the engine stand-in are a function of prompt and position: tests compare
+//! streams with them.
 
 use iristhread_standin::expected_answer;
 use iristhread_standin::expected_length;
@@ -8,7 +9,7 @@
 #[test_case("p [tokens=7]", 100, 7; "marked length")]
 #[test_case("p [tokens=7]", 3, 3; "cut by the limit")]
 #[test_case("p [tokens=x]", 0, 0; "nothing allowed")]
-fn an_answer_has_the_length(prompt: &str, max_tokens: u32, expected: usize) {
+fn answer_has_expected_length(prompt: &str, max_tokens: u32, expected: usize) {
     assert_eq!(expected_answer(prompt, max_tokens).len(), expected);
 }
 
