--- a/crates/testbed/src/child.rs
+++ b/crates/testbed/src/child.rs
@@ -1,4 +1,4 @@
-//! One process of a scene.
+//! A child process of a scene.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -14,29 +14,29 @@
 use tokio::process::ChildStdout;
 use tokio::process::Command;
 
-/// What every log line holds, and no other line that the programs print.
+/// Key that occurs in every log line and in no other output line of the programs.
 const LOG_KEY: &str = "\"msg\":";
 
-/// Looks at a process that was told to stop, and the time between two of them:
-/// ten seconds together.
-const FREEZE_LOOKS: u32 = 5_000;
-const FREEZE_LOOK: Duration = Duration::from_millis(2);
+/// Number of polls for a process to stop after SIGSTOP, and the interval between them:
+/// ten seconds in total.
+const MAX_FREEZE_POLLS: u32 = 5_000;
+const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Why a scene could not be set up or changed.
 #[derive(Debug, Error)]
 pub enum SceneError {
-    /// A program could not be started, or said nothing.
+    /// A program could not be started, or printed no first line.
     #[error("can't start {program}: {cause}; build the workspace first")]
     Start {
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// What happened.
+        /// Cause of the failure.
         cause: String,
     },
-    /// A stand-in did not take a request.
+    /// A request to a stand-in or an instance failed, or a scene could not be changed.
     #[error("a stand-in refused: {0}")]
     Standin(String),
-    /// A condition did not come true.
+    /// A condition did not become true within the timeout.
     #[error("waited in vain for: {0}")]
     Waited(String),
 }
@@ -46,7 +46,7 @@
 pub struct Child {
     process: tokio::process::Child,
     pid: Pid,
-    /// The first line that it printed and that is no log line.
+    /// The first line of standard output that is not a log line.
     pub first_line: String,
 }
 
@@ -55,13 +55,13 @@
     ///
     /// # Errors
     ///
-    /// [`SceneError::Start`].
+    /// [`SceneError::Start`] if the program can't be started or prints no such line.
     pub async fn start(program: &str, arguments: &[String]) -> Result<Child, SceneError> {
-        let failed = |cause: String| SceneError::Start {
+        let start_error = |cause: String| SceneError::Start {
             program: program.to_owned(),
             cause,
         };
-        let path = path_of(program).map_err(|error| failed(error.to_string()))?;
+        let path = program_path(program).map_err(|error| start_error(error.to_string()))?;
         let mut process = Command::new(path)
             .args(arguments)
             .stdin(Stdio::null())
@@ -69,14 +69,14 @@
             .stderr(stderr_for_logs())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| start_error(error.to_string()))?;
         let pid = process.id().and_then(|id| i32::try_from(id).ok());
-        let pid = pid.ok_or_else(|| failed("it ended at once".to_owned()))?;
+        let pid = pid.ok_or_else(|| start_error("it ended at once".to_owned()))?;
         let stdout = process.stdout.take();
-        let stdout = stdout.ok_or_else(|| failed("no output".to_owned()))?;
+        let stdout = stdout.ok_or_else(|| start_error("no output".to_owned()))?;
         let mut lines = BufReader::new(stdout).lines();
-        let first_line = first_answer(&mut lines).await;
-        let first_line = first_line.ok_or_else(|| failed("it printed nothing".to_owned()))?;
+        let first_line = first_output_line(&mut lines).await;
+        let first_line = first_line.ok_or_else(|| start_error("it printed nothing".to_owned()))?;
         tokio::spawn(drain(lines));
         Ok(Child {
             process,
@@ -85,33 +85,32 @@
         })
     }
 
-    /// Its id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.pid.as_raw().unsigned_abs()
     }
 
-    /// SIGKILL, and waits for the end.
+    /// Sends SIGKILL and waits for the process to exit.
     pub async fn kill(&mut self) {
         self.signal(Signal::SIGKILL);
         self.ended().await;
     }
 
-    /// SIGSTOP, and waits until no thread of the process runs any more: on a busy
-    /// machine that takes a while, in which it could still take requests.
+    /// Sends SIGSTOP and waits until all threads of the process are stopped. On a busy
+    /// machine this takes some time, during which the process could still accept requests.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
-        for _ in 0..FREEZE_LOOKS {
-            if self.stands_still() {
+        for _ in 0..MAX_FREEZE_POLLS {
+            if self.all_threads_stopped() {
                 return;
             }
-            std::thread::sleep(FREEZE_LOOK);
+            std::thread::sleep(FREEZE_POLL_INTERVAL);
         }
-        panic!("process {} runs on after SIGSTOP", self.pid);
+        panic!("process {} is still running after SIGSTOP", self.pid);
     }
 
-    /// Whether the system shows every thread as stopped; a thread that is gone
-    /// runs no more either.
-    fn stands_still(&self) -> bool {
+    /// Returns whether `/proc` shows every thread as stopped; `true` if the process is gone.
+    fn all_threads_stopped(&self) -> bool {
         let threads = std::fs::read_dir(format!("/proc/{}/task", self.pid));
         let threads = threads.into_iter().flatten().flatten();
         threads
@@ -119,72 +118,72 @@
             .all(|stat| stat.is_ok_and(|stat| state_of(&stat) == Some('T')))
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn thaw(&self) {
         self.signal(Signal::SIGCONT);
     }
 
-    /// SIGTERM: a planned stop.
+    /// Sends SIGTERM, which starts a planned stop.
     pub fn stop(&self) {
         self.signal(Signal::SIGTERM);
     }
 
-    /// Waits for the end; the exit code, if it was no signal.
+    /// Waits for the process to exit. Returns its exit code, or `None` if a signal ended it.
     pub async fn ended(&mut self) -> Option<i32> {
         let status = self.process.wait().await.ok()?;
         status.code()
     }
 
     fn signal(&self, signal: Signal) {
-        // A process that has ended already needs none.
+        // An error means that the process has exited already.
         let _ = kill(self.pid, signal);
     }
 }
 
-/// The state stands behind the name of the program, which is in brackets.
+/// Returns the state field, which follows the program name in parentheses.
 fn state_of(stat: &str) -> Option<char> {
     let (_, rest) = stat.rsplit_once(") ")?;
     rest.chars().next()
 }
 
-/// Logs share the standard output; each has a message.
-async fn first_answer(lines: &mut Lines<BufReader<ChildStdout>>) -> Option<String> {
+/// Returns the first line that is not a log line; logs share the standard output.
+async fn first_output_line(lines: &mut Lines<BufReader<ChildStdout>>) -> Option<String> {
     loop {
         let line = lines.next_line().await.ok().flatten()?;
         if !line.contains(LOG_KEY) {
             return Some(line);
         }
-        show(&line);
+        print_log_line(&line);
     }
 }
 
-/// Reads on, so that the process never waits for a reader of its logs.
+/// Reads all further output, so that the process never blocks on a full pipe.
 async fn drain(mut lines: Lines<BufReader<ChildStdout>>) {
     while let Ok(Some(line)) = lines.next_line().await {
-        show(&line);
+        print_log_line(&line);
     }
 }
 
-fn show(line: &str) {
-    if wants_logs() {
+fn print_log_line(line: &str) {
+    if shows_logs() {
         eprintln!("{line}");
     }
 }
 
-fn wants_logs() -> bool {
+fn shows_logs() -> bool {
     std::env::var_os("IRISTHREAD_TEST_LOGS").is_some()
 }
 
-/// Logs are shown when a person asks for them.
+/// Inherits standard error if logs are enabled by `IRISTHREAD_TEST_LOGS`.
 fn stderr_for_logs() -> Stdio {
-    if wants_logs() {
+    if shows_logs() {
         return Stdio::inherit();
     }
     Stdio::null()
 }
 
-/// Programs stand beside the running one, or above it for tests.
-fn path_of(program: &str) -> std::io::Result<PathBuf> {
+/// Looks for a program in the folder of the running one and, for tests, in its parent.
+fn program_path(program: &str) -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folders = own.ancestors().skip(1).take(2);
     let found = folders
--- a/crates/testbed/src/link.rs
+++ b/crates/testbed/src/link.rs
@@ -1,4 +1,4 @@
-//! A link between two processes that a test can cut or stall.
+//! A TCP proxy between two processes whose connections a test can delay, stall or close.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,67 +14,68 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// What each piece waits on a slow link.
-const SLOW_BY: Duration = Duration::from_millis(40);
+/// Delay of each chunk on a slow link.
+const SLOW_LINK_DELAY: Duration = Duration::from_millis(40);
 
-/// What a link does with what comes.
+/// How a link handles the bytes that it receives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LinkState {
-    /// Passes it on.
+    /// Forwards in both directions.
     Up,
-    /// Passes it on after a while.
+    /// Forwards each chunk with a delay.
     Slow,
-    /// Passes on what goes there and holds back what comes from there.
+    /// Forwards to the target and holds back bytes from the target.
     Deaf,
-    /// Holds it back; connections stay open.
+    /// Holds back both directions; connections stay open.
     Stalled,
-    /// Closes every connection and takes no new one.
+    /// Closes every connection, and new ones as soon as they are accepted.
     Cut,
 }
 
-/// What a link does now.
+/// Current state of a link.
 #[derive(Clone, Copy, Debug)]
 struct Condition {
     state: LinkState,
-    /// Times that the connections that were open then fell silent.
-    silences: u32,
+    /// Number of times that the open connections were stalled for good. A connection that
+    /// was opened at a lower count forwards nothing.
+    stall_count: u32,
 }
 
 /// Forwards TCP connections to one address.
 #[derive(Debug)]
 pub struct Link {
-    /// Where it listens.
+    /// Address on which the link listens.
     pub address: SocketAddr,
     condition: Arc<watch::Sender<Condition>>,
 }
 
 impl Link {
-    /// A link to `target` that is up.
+    /// Starts a link to `target` in the state [`LinkState::Up`].
     ///
     /// # Errors
     ///
-    /// When no port can be listened on.
+    /// If no port can be bound on loopback.
     pub async fn to(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let condition = Condition {
             state: LinkState::Up,
-            silences: 0,
+            stall_count: 0,
         };
         let condition = Arc::new(watch::channel(condition).0);
         tokio::spawn(accept(listener, target, condition.clone()));
         Ok(Link { address, condition })
     }
 
-    /// Changes what the link does.
+    /// Changes the state of the link, for open and new connections.
     pub fn set(&self, state: LinkState) {
         self.condition.send_modify(|now| now.state = state);
     }
 
-    /// Nothing passes any more on the connections that are open now, not even their end;
-    /// new ones work.
+    /// Stalls the connections that are open now for good: not even their close is forwarded.
+    /// New connections work.
     pub fn silence(&self) {
-        self.condition.send_modify(|now| now.silences += 1);
+        self.condition.send_modify(|now| now.stall_count += 1);
     }
 }
 
@@ -83,30 +84,31 @@
     target: SocketAddr,
     condition: Arc<watch::Sender<Condition>>,
 ) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((client, _)) = listener.accept().await {
         if condition.borrow().state != LinkState::Cut {
-            tokio::spawn(forward(near, target, condition.subscribe()));
+            tokio::spawn(forward(client, target, condition.subscribe()));
         }
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddr, mut condition: watch::Receiver<Condition>) {
-    let silences = condition.borrow().silences;
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward(client: TcpStream, target: SocketAddr, mut condition: watch::Receiver<Condition>) {
+    let stall_count = condition.borrow().stall_count;
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let is_silent = move |now: &Condition| now.silences != silences;
-    let holds_requests = move |now: &Condition| is_silent(now) || now.state == LinkState::Stalled;
-    let holds_answers = move |now: &Condition| {
-        is_silent(now) || matches!(now.state, LinkState::Stalled | LinkState::Deaf)
+    let (client_in, client_out) = client.into_split();
+    let (target_in, target_out) = upstream.into_split();
+    let is_stalled_for_good = move |now: &Condition| now.stall_count != stall_count;
+    let stalls_requests =
+        move |now: &Condition| is_stalled_for_good(now) || now.state == LinkState::Stalled;
+    let stalls_responses = move |now: &Condition| {
+        is_stalled_for_good(now) || matches!(now.state, LinkState::Stalled | LinkState::Deaf)
     };
-    let there = copy(near_in, far_out, condition.clone(), holds_requests);
-    let back = copy(far_in, near_out, condition.clone(), holds_answers);
+    let requests = copy(client_in, target_out, condition.clone(), stalls_requests);
+    let responses = copy(target_in, client_out, condition.clone(), stalls_responses);
     tokio::select! {
-        _ = async { tokio::join!(there, back) } => {}
-        _ = until(&mut condition, |now| now.state == LinkState::Cut) => {}
+        _ = async { tokio::join!(requests, responses) } => {}
+        _ = wait_for_condition(&mut condition, |now| now.state == LinkState::Cut) => {}
     }
 }
 
@@ -120,19 +122,19 @@
     while let Ok(length) = from.read(&mut buffer).await {
         let is_slow = condition.borrow().state == LinkState::Slow;
         if is_slow {
-            tokio::time::sleep(SLOW_BY).await;
+            tokio::time::sleep(SLOW_LINK_DELAY).await;
         }
-        let passes = until(&mut condition, |now| !holds(now)).await;
+        let passes = wait_for_condition(&mut condition, |now| !holds(now)).await;
         if length == 0 || !passes || to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
 }
 
-/// Whether the link came to be as wanted before it went away.
-async fn until(
+/// Waits until the condition meets the predicate. Returns `false` if the link is dropped first.
+async fn wait_for_condition(
     condition: &mut watch::Receiver<Condition>,
-    wanted: impl Fn(&Condition) -> bool,
+    predicate: impl Fn(&Condition) -> bool,
 ) -> bool {
-    condition.wait_for(wanted).await.is_ok()
+    condition.wait_for(predicate).await.is_ok()
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,5 +1,5 @@
-//! The demo: the whole system as processes on loopback, with an engine killed
-//! under a stream. Exits with 1 and a clear word if anything was lost.
+//! The demo: the whole system as processes on loopback, with an engine that crashes
+//! during a stream. Exits with 1 and an error message if a token or call was lost.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -23,10 +23,10 @@
 const CHAT_MESSAGE: &str = "Which finishes suit an oak table of 180 cm? [tokens=40]";
 const MAX_TOKENS: u32 = 8_000;
 
-/// Token at which the engine under the quote dies.
-const DIES_AT: u32 = 50;
+/// Token at which the engine that generates the quote crashes.
+const CRASH_AT_TOKEN: u32 = 50;
 
-type Failure = Box<dyn std::error::Error>;
+type DemoError = Box<dyn std::error::Error>;
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -42,7 +42,7 @@
     }
 }
 
-async fn demo() -> Result<(), Failure> {
+async fn demo() -> Result<(), DemoError> {
     println!(
         "Starting a platform, two availability zones with two instances and two engines each, and a service …"
     );
@@ -51,14 +51,14 @@
         .engines_per_zone(2)
         .start()
         .await?;
-    chat(&scene).await?;
-    book(&scene).await?;
-    let request = quote(&scene).await?;
-    tell(&scene, &request).await?;
-    stop(scene).await
+    stream_chat(&scene).await?;
+    book_slot(&scene).await?;
+    let request = stream_quote(&scene).await?;
+    print_explanation(&scene, &request).await?;
+    stop_instances(scene).await
 }
 
-async fn chat(scene: &Scene) -> Result<(), Failure> {
+async fn stream_chat(scene: &Scene) -> Result<(), DemoError> {
     println!("\nA chat at instance b1:");
     let body = |received| ChatRequest {
         model: CHAT_MODEL.to_owned(),
@@ -71,13 +71,15 @@
         ..ChatRequest::default()
     };
     let caller = scene.caller(&["b1"]);
-    let outcome = caller.stream("/v1/chat/completions", body, print).await?;
+    let outcome = caller
+        .stream("/v1/chat/completions", body, print_token)
+        .await?;
     println!();
     let prompt = body(Vec::new()).into_completion().prompt;
-    whole(&outcome, &prompt)
+    check_complete(&outcome, &prompt)
 }
 
-async fn book(scene: &Scene) -> Result<(), Failure> {
+async fn book_slot(scene: &Scene) -> Result<(), DemoError> {
     println!("\nA delivery slot, which may be booked only once:");
     let order = CallOrder {
         service: SLOT_SERVICE.to_owned(),
@@ -93,12 +95,16 @@
     }
 }
 
-async fn quote(scene: &Scene) -> Result<String, Failure> {
-    println!("\nA narrated quote at instance a1; its engine dies at token {DIES_AT}:");
-    // Whichever engine gets the quote dies under it; the others stay.
+async fn stream_quote(scene: &Scene) -> Result<String, DemoError> {
+    println!("\nA narrated quote at instance a1; its engine dies at token {CRASH_AT_TOKEN}:");
+    // Every engine gets the fault, since the engine that will run the quote is not known yet;
+    // `clear_other_faults` then spares the others.
     for engine in scene.engine_names() {
         scene
-            .fault(&engine, serde_json::json!({ "die_at_token": DIES_AT }))
+            .fault(
+                &engine,
+                serde_json::json!({ "die_at_token": CRASH_AT_TOKEN }),
+            )
             .await?;
     }
     let body = |received| CompletionRequest {
@@ -112,17 +118,18 @@
     let mut printed = 0;
     let on_token = |token: &str| {
         printed += 1;
-        if printed == DIES_AT - 5 {
+        if printed == CRASH_AT_TOKEN - 5 {
             print!("\n  [the engine is about to die] ");
         }
-        print(token);
+        print_token(token);
     };
-    let watch = spare_the_rest(scene);
-    let (outcome, spared) = tokio::join!(caller.stream("/v1/completions", body, on_token), watch);
-    spared?;
+    let cleared = clear_other_faults(scene);
+    let (outcome, cleared) =
+        tokio::join!(caller.stream("/v1/completions", body, on_token), cleared);
+    cleared?;
     let outcome = outcome?;
     println!();
-    whole(&outcome, QUOTE_PROMPT)?;
+    check_complete(&outcome, QUOTE_PROMPT)?;
     println!(
         "{} tokens over {} connection(s)",
         outcome.tokens.len(),
@@ -131,8 +138,8 @@
     Ok(outcome.request)
 }
 
-/// Once the quote runs on one engine, the fault is taken off all others.
-async fn spare_the_rest(scene: &Scene) -> Result<(), Failure> {
+/// Waits until the quote is placed on an engine, then clears the fault of all other engines.
+async fn clear_other_faults(scene: &Scene) -> Result<(), DemoError> {
     loop {
         let timeline = scene
             .operator("a1")
@@ -156,7 +163,7 @@
     }
 }
 
-async fn tell(scene: &Scene, request: &str) -> Result<(), Failure> {
+async fn print_explanation(scene: &Scene, request: &str) -> Result<(), DemoError> {
     println!("\nWhat happened to the quote (iristhread explain {request}), asked at instance b2:");
     let operator = scene.operator("b2");
     let timeline = operator
@@ -170,7 +177,7 @@
     Err("no engine died under the quote, so the demo showed nothing".into())
 }
 
-async fn stop(mut scene: Scene) -> Result<(), Failure> {
+async fn stop_instances(mut scene: Scene) -> Result<(), DemoError> {
     println!("\nPlanned stop of all instances:");
     for name in scene.instance_names() {
         let process = scene.process(&name);
@@ -183,17 +190,17 @@
     Ok(())
 }
 
-fn whole(outcome: &CompletionOutcome, prompt: &str) -> Result<(), Failure> {
+fn check_complete(outcome: &CompletionOutcome, prompt: &str) -> Result<(), DemoError> {
     let expected = expected_answer(prompt, MAX_TOKENS);
     if outcome.tokens == expected {
         return Ok(());
     }
-    let (got, wanted) = (outcome.tokens.len(), expected.len());
-    Err(format!("the stream is not what was generated: {got} tokens of {wanted}").into())
+    let (received, generated) = (outcome.tokens.len(), expected.len());
+    Err(format!("the stream is not what was generated: {received} tokens of {generated}").into())
 }
 
-fn print(token: &str) {
+fn print_token(token: &str) {
     print!("{token}");
-    // Somebody who stopped reading is found out at the next line.
+    // A closed standard output makes the next `println!` fail.
     let _ = std::io::stdout().flush();
 }
--- a/crates/testbed/src/scene.rs
+++ b/crates/testbed/src/scene.rs
@@ -1,4 +1,4 @@
-//! A platform, engines, services and instances as processes on loopback.
+//! A test environment: a platform, engines, services and instances as processes on loopback.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,12 +20,12 @@
 use crate::child::SceneError;
 use crate::link::Link;
 use crate::link::LinkState;
-use crate::question::Question;
 use crate::scene_builder::SceneBuilder;
-use crate::scene_document::Placed;
+use crate::scene_document::PlacedServer;
 use crate::scene_document::document;
 use crate::scene_process::Instance;
 use crate::scene_process::Standin;
+use crate::test_request::TestRequest;
 
 mod waiting;
 
@@ -40,7 +40,7 @@
 
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Running processes; all are killed when it is dropped.
+/// The running processes of a test environment; all are killed when it is dropped.
 pub struct Scene {
     pub(crate) platform: Standin,
     pub(crate) engines: BTreeMap<String, Standin>,
@@ -55,8 +55,8 @@
 }
 
 impl Scene {
-    /// A scene of that many zones, with one instance and one engine each and one
-    /// service runner in all, to be changed.
+    /// Returns a builder with `zones` zones. By default each zone has one instance and one
+    /// engine, and there is one service runner in all.
     pub fn builder(zones: usize) -> SceneBuilder {
         SceneBuilder::new(zones)
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A caller of the workspace `quotes` that tries these instances in turn.
+    /// Returns a caller of the workspace `quotes` that tries these instances in order.
     pub fn caller(&self, instances: &[&str]) -> Caller {
         Caller::new(Target {
             servers: instances.iter().map(|name| self.caller_url(name)).collect(),
@@ -82,7 +82,7 @@
         })
     }
 
-    /// An operator at an instance.
+    /// Returns an operator client of an instance.
     pub fn operator(&self, instance: &str) -> Operator {
         Operator::new(Target {
             servers: vec![format!("http://{}", self.addresses(instance).operators)],
@@ -90,21 +90,22 @@
         })
     }
 
-    /// Changes the link to an engine, or that of a whole zone to the platform.
+    /// Changes the state of the link to an engine (by its name), or of the link between a zone
+    /// (by its name) and the platform.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
+    /// If there is none of that name, which is a fault of the test.
     pub fn set_link(&self, name: &str, state: LinkState) {
         self.links[name].set(state);
     }
 
-    /// Lets the open connections of a link fall silent; new ones work.
+    /// Stalls the open connections of a link for good; new connections work.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
-    pub fn silence_link(&self, name: &str) {
+    /// If there is none of that name, which is a fault of the test.
+    pub fn stall_open_connections(&self, name: &str) {
         self.links[name].silence();
     }
 
@@ -120,51 +121,52 @@
         Ok(address)
     }
 
-    /// Sends one request to the callers' address of an instance.
+    /// Sends one request to an instance, at its operators' address if the request was made by
+    /// [`TestRequest::operator`], else at its callers' address.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`] when there is no answer.
-    pub async fn ask(&self, instance: &str, question: &Question) -> Result<Reply, SceneError> {
-        let base = match question.to_operators {
+    /// [`SceneError::Standin`] if there is no answer.
+    pub async fn ask(&self, instance: &str, request: &TestRequest) -> Result<Reply, SceneError> {
+        let base = match request.to_operators {
             true => format!("http://{}", self.addresses(instance).operators),
             false => self.caller_url(instance),
         };
         self.client
-            .fetch(question.request(&base))
+            .fetch(request.request(&base))
             .await
-            .map_err(refused)
+            .map_err(to_scene_error)
     }
 
-    /// Base address for callers of an instance.
+    /// Returns the base URL of the callers' address of an instance.
     pub fn caller_url(&self, instance: &str) -> String {
         format!("http://{}", self.addresses(instance).callers)
     }
 
-    /// Where an instance listens.
+    /// Returns the addresses on which an instance listens.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
+    /// If there is none of that name, which is a fault of the test.
     pub fn addresses(&self, instance: &str) -> ListenAddresses {
         self.instances[instance].addresses
     }
 
-    /// Names of the instances.
+    /// Returns the names of the instances, sorted.
     pub fn instance_names(&self) -> Vec<String> {
         self.instances.keys().cloned().collect()
     }
 
-    /// Names of the engines.
+    /// Returns the names of the engines, sorted.
     pub fn engine_names(&self) -> Vec<String> {
         self.engines.keys().cloned().collect()
     }
 
-    /// The process of an instance, engine or service runner.
+    /// Returns the process of an instance, engine or service runner.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
+    /// If there is none of that name, which is a fault of the test.
     pub fn process(&mut self, name: &str) -> &mut Child {
         if let Some(instance) = self.instances.get_mut(name) {
             return &mut instance.child;
@@ -176,11 +178,12 @@
         }
     }
 
-    /// An instance, to signal it while a question is under way.
+    /// Returns the process of an instance by shared reference, so that it can be signalled
+    /// while a request is in flight.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
+    /// If there is none of that name, which is a fault of the test.
     pub fn instance(&self, name: &str) -> &Child {
         match self.instances.get(name) {
             Some(instance) => &instance.child,
@@ -188,20 +191,20 @@
         }
     }
 
-    /// SIGTERM to an instance, while others borrow the scene.
+    /// Sends SIGTERM to an instance, by shared reference to the scene.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
+    /// If there is none of that name, which is a fault of the test.
     pub fn signal_stop(&self, instance: &str) {
         self.instances[instance].child.stop();
     }
 
-    /// Address of an engine or service runner.
+    /// Returns the address of an engine or service runner.
     ///
     /// # Panics
     ///
-    /// When there is none of that name: the test is wrong.
+    /// If there is none of that name, which is a fault of the test.
     pub fn standin_address(&self, name: &str) -> SocketAddr {
         let standin = self.engines.get(name).or(self.services.get(name));
         match standin {
@@ -210,33 +213,33 @@
         }
     }
 
-    /// Switches faults of an engine or service runner on, and all others off.
+    /// Sets the faults of an engine or service runner; faults that are not named are cleared.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn fault(&self, name: &str, faults: Value) -> Result<(), SceneError> {
         let uri = format!("http://{}/faults", self.standin_address(name));
         self.send(Method::POST, &uri, &faults).await?;
         Ok(())
     }
 
-    /// Switches faults of the platform.
+    /// Sets the faults of the platform; faults that are not named are cleared.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn platform_fault(&self, faults: Value) -> Result<(), SceneError> {
         let uri = format!("http://{}/faults", self.platform.address);
         self.send(Method::POST, &uri, &faults).await?;
         Ok(())
     }
 
-    /// Publishes any document, faulty ones too; its version.
+    /// Publishes a document, which may be invalid, and returns its version.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn publish(&self, document: &Value) -> Result<u64, SceneError> {
         let uri = format!("http://{}/config", self.platform.address);
         let version = self.send(Method::PUT, &uri, document).await?;
@@ -245,21 +248,21 @@
             .ok_or_else(|| SceneError::Standin("no version".to_owned()))
     }
 
-    /// Publishes the document of the scene after a change.
+    /// Publishes [`Scene::document`], as changed by the test, and returns its version.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn publish_document(&self) -> Result<u64, SceneError> {
         let document = serde_json::to_value(&self.document);
         self.publish(&document.unwrap_or_default()).await
     }
 
-    /// Publishes the instance list; `leaving` names those that leave.
+    /// Publishes the instance list; the instances in `leaving` are marked as leaving.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn list_instances(&self, leaving: &[&str]) -> Result<(), SceneError> {
         let entry = |(name, instance): (&String, &Instance)| InstanceEntry {
             instance: name.clone(),
@@ -277,45 +280,46 @@
         Ok(())
     }
 
-    /// Reads that the platform has counted, as its stand-in tells.
+    /// Returns the number of reads that the platform stand-in has counted.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn platform_reads(&self) -> Result<u64, SceneError> {
         let uri = format!("http://{}/reads", self.platform.address);
-        let request = HttpClient::get(&uri).map_err(refused)?;
+        let request = HttpClient::get(&uri).map_err(to_scene_error)?;
         let count = self.client.json::<iristhread_api::ReadCount>(request).await;
-        Ok(count.map_err(refused)?.unwrap_or_default().reads)
+        Ok(count.map_err(to_scene_error)?.unwrap_or_default().reads)
     }
 
-    /// What has reached an engine or a service runner, refused or not.
+    /// Returns the number of requests that reached an engine or service runner, including those
+    /// that it refused.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn arrivals(&self, name: &str) -> Result<u64, SceneError> {
         let uri = format!("http://{}/arrivals", self.standin_address(name));
-        let request = HttpClient::get(&uri).map_err(refused)?;
+        let request = HttpClient::get(&uri).map_err(to_scene_error)?;
         let count = self.client.json::<u64>(request).await;
-        Ok(count.map_err(refused)?.unwrap_or_default())
+        Ok(count.map_err(to_scene_error)?.unwrap_or_default())
     }
 
-    /// Executions of all service runners together.
+    /// Returns the executions of all service runners, summed by key and by body.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the request fails.
     pub async fn executions(&self) -> Result<Executions, SceneError> {
         let mut all = Executions::default();
         for standin in self.services.values() {
             let uri = format!("http://{}/executions", standin.address);
-            let request = HttpClient::get(&uri).map_err(refused)?;
+            let request = HttpClient::get(&uri).map_err(to_scene_error)?;
             let Some(one) = self
                 .client
                 .json::<Executions>(request)
                 .await
-                .map_err(refused)?
+                .map_err(to_scene_error)?
             else {
                 continue;
             };
@@ -329,11 +333,11 @@
         Ok(all)
     }
 
-    /// Adds lines to the settings that an instance reads when it is restarted.
+    /// Adds lines to the settings file of an instance, which it reads at its next start.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Standin`].
+    /// [`SceneError::Standin`] if the settings file can't be read or written.
     pub fn change_settings(&mut self, name: &str, lines: &str) -> Result<(), SceneError> {
         let file = self.instances[name].settings.path();
         let failed = |error: std::io::Error| SceneError::Standin(error.to_string());
@@ -341,12 +345,13 @@
         std::fs::write(file, format!("{lines}\n{text}")).map_err(failed)
     }
 
-    /// Starts an instance again under the same name, with new ports and a new
+    /// Kills an instance and starts it under the same name, with new ports and a new
     /// incarnation.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Start`].
+    /// [`SceneError::Start`] if it can't be started, [`SceneError::Standin`] if there is none of
+    /// that name.
     pub async fn restart(&mut self, name: &str) -> Result<(), SceneError> {
         let Some(mut old) = self.instances.remove(name) else {
             return Err(SceneError::Standin(format!("no instance {name}")));
@@ -358,16 +363,16 @@
     }
 
     pub(crate) async fn publish_backends(&mut self) -> Result<(), SceneError> {
-        let placed = |(name, standin): (&String, &Standin)| -> Placed {
+        let direct = |(name, standin): (&String, &Standin)| -> PlacedServer {
             (name.clone(), self.zones[name].clone(), standin.address)
         };
-        let linked = |(name, standin): (&String, &Standin)| -> Placed {
+        let linked = |(name, standin): (&String, &Standin)| -> PlacedServer {
             let link = self.links.get(name).map(|link| link.address);
             let address = link.unwrap_or(standin.address);
             (name.clone(), self.zones[name].clone(), address)
         };
-        let engines: Vec<Placed> = self.engines.iter().map(linked).collect();
-        let services: Vec<Placed> = self.services.iter().map(placed).collect();
+        let engines: Vec<PlacedServer> = self.engines.iter().map(linked).collect();
+        let services: Vec<PlacedServer> = self.services.iter().map(direct).collect();
         let keys = [CALLER_KEY, OTHER_CALLER_KEY, OPERATOR_KEY];
         self.document = document(&engines, &services, keys);
         self.publish_document().await?;
@@ -375,12 +380,12 @@
     }
 
     async fn send(&self, method: Method, uri: &str, body: &Value) -> Result<Value, SceneError> {
-        let request = HttpClient::request(method, uri, None, Some(body)).map_err(refused)?;
-        let answer = self.client.json(request).await.map_err(refused)?;
+        let request = HttpClient::request(method, uri, None, Some(body)).map_err(to_scene_error)?;
+        let answer = self.client.json(request).await.map_err(to_scene_error)?;
         Ok(answer.unwrap_or_default())
     }
 }
 
-fn refused(error: iristhread_api::HttpClientError) -> SceneError {
+fn to_scene_error(error: iristhread_api::HttpClientError) -> SceneError {
     SceneError::Standin(error.to_string())
 }
--- a/crates/testbed/src/scene/waiting.rs
+++ b/crates/testbed/src/scene/waiting.rs
@@ -1,4 +1,4 @@
-//! What a scene waits for: versions in force, instances that are ready.
+//! Waits for conditions of a scene: versions in force, instances that are ready.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use crate::child::SceneError;
 use crate::eventually::eventually;
 
-/// Longest wait for one instance that may be frozen.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(4);
+/// Timeout for the status of one instance, which may be frozen.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Scene {
-    /// What every instance says to be in force, asked one by one; a frozen one
-    /// is left out.
+    /// Returns the status that each instance reports about itself, queried one by one.
+    /// Instances that don't answer within 4 s, such as frozen ones, are left out.
     pub async fn versions(&self) -> BTreeMap<String, InstanceStatus> {
         let mut all = BTreeMap::new();
         for name in self.instances.keys() {
             let operator = self.operator(name);
-            let answer = tokio::time::timeout(ANSWER_PATIENCE, operator.status()).await;
+            let answer = tokio::time::timeout(STATUS_TIMEOUT, operator.status()).await;
             if let Ok(Ok(lines)) = answer {
                 all.extend(lines.into_iter().filter(|(line, _)| line == name));
             }
@@ -27,11 +27,11 @@
         all
     }
 
-    /// Waits until a version is in force on these instances.
+    /// Waits until this or a later version is in force on these instances.
     ///
     /// # Errors
     ///
-    /// [`SceneError::Waited`].
+    /// [`SceneError::Waited`] if the version is not in force in time.
     pub async fn in_force(&self, version: u64, names: &[String]) -> Result<(), SceneError> {
         eventually("a version in force everywhere", async || {
             let all = self.versions().await;
@@ -41,7 +41,7 @@
         .await
     }
 
-    pub(crate) async fn all_ready(&self) -> Result<(), SceneError> {
+    pub(crate) async fn wait_until_ready(&self) -> Result<(), SceneError> {
         let version = 1;
         self.in_force(version, &self.instance_names()).await?;
         eventually("a load report of every engine", async || {
--- a/crates/testbed/src/scene_builder.rs
+++ b/crates/testbed/src/scene_builder.rs
@@ -1,4 +1,4 @@
-//! Sets a scene up.
+//! Configures and starts a scene.
 
 use crate::child::SceneError;
 use crate::scene::Scene;
@@ -6,7 +6,7 @@
 use crate::scene_process::Standin;
 use crate::scene_process::settings_file;
 
-/// What a scene is made of.
+/// The numbers and settings of the processes of a scene.
 #[derive(Clone, Debug)]
 pub struct SceneBuilder {
     zones: usize,
@@ -33,61 +33,62 @@
         }
     }
 
-    /// Instances in each zone.
+    /// Sets the number of instances in each zone; 1 by default.
     #[must_use]
     pub fn instances_per_zone(mut self, count: usize) -> Self {
         self.instances_per_zone = count;
         self
     }
 
-    /// Engines in each zone.
+    /// Sets the number of engines in each zone; 1 by default.
     #[must_use]
     pub fn engines_per_zone(mut self, count: usize) -> Self {
         self.engines_per_zone = count;
         self
     }
 
-    /// Service runners in all.
+    /// Sets the number of service runners in all zones together; 1 by default.
     #[must_use]
     pub fn services(mut self, count: usize) -> Self {
         self.services = count;
         self
     }
 
-    /// Flags of every engine.
+    /// Sets the command-line flags of every engine.
     #[must_use]
     pub fn engine_flags(mut self, flags: &[&str]) -> Self {
         self.engine_flags = flags.iter().map(|flag| (*flag).to_owned()).collect();
         self
     }
 
-    /// Flags of every service runner.
+    /// Sets the command-line flags of every service runner.
     #[must_use]
     pub fn service_flags(mut self, flags: &[&str]) -> Self {
         self.service_flags = flags.iter().map(|flag| (*flag).to_owned()).collect();
         self
     }
 
-    /// Lines added to the settings of every instance.
+    /// Sets lines that are added to the settings of every instance.
     #[must_use]
     pub fn settings(mut self, lines: &str) -> Self {
         self.settings = lines.to_owned();
         self
     }
 
-    /// Puts a link before every engine, and before the platform for each zone,
-    /// which [`Scene::set_link`] can stall or cut.
+    /// Puts a link in front of every engine, and one per zone in front of the platform.
+    /// [`Scene::set_link`] can stall or cut them.
     #[must_use]
     pub fn with_links(mut self) -> Self {
         self.links = true;
         self
     }
 
-    /// Starts everything and waits until every instance is ready.
+    /// Starts all processes and waits until every instance is ready.
     ///
     /// # Errors
     ///
-    /// [`SceneError`].
+    /// [`SceneError`] if a process can't be started, a request to a stand-in fails, or an
+    /// instance is not ready in time.
     pub async fn start(self) -> Result<Scene, SceneError> {
         let platform = Standin::start(&["platform".to_owned()]).await?;
         let mut scene = Scene::with_platform(platform);
@@ -107,7 +108,7 @@
         }
         scene.publish_backends().await?;
         scene.list_instances(&[]).await?;
-        scene.all_ready().await?;
+        scene.wait_until_ready().await?;
         Ok(scene)
     }
 
--- a/crates/testbed/src/scene_document.rs
+++ b/crates/testbed/src/scene_document.rs
@@ -1,4 +1,4 @@
-//! The configuration of a scene.
+//! The configuration document of a scene.
 
 use std::net::SocketAddr;
 
@@ -12,23 +12,24 @@
 use iristhread_core::Service;
 use iristhread_core::Workspace;
 
-/// Model that narrates quotes.
+/// Name of the model for completions.
 pub const QUOTE_MODEL: &str = "quote-narrator";
 
-/// Model that chats.
+/// Name of the model for chat completions.
 pub const CHAT_MODEL: &str = "showroom-chat";
 
-/// Service whose calls may not be repeated.
+/// Service whose calls must run at most once (`repeatable` is false).
 pub const SLOT_SERVICE: &str = "delivery-slots";
 
-/// Service whose calls may be repeated.
+/// Service whose calls may be sent again (`repeatable` is true).
 pub const STOCK_SERVICE: &str = "stock";
 
 /// A backend server of a scene: name, zone and address.
-pub type Placed = (String, String, SocketAddr);
+pub type PlacedServer = (String, String, SocketAddr);
 
-/// The configuration for these engines and service runners.
-pub fn document(engines: &[Placed], services: &[Placed], keys: [&str; 3]) -> Document {
+/// Returns the configuration for these engines and service runners. `keys` holds the keys
+/// of the workspaces `quotes` and `showroom` and that of the operator.
+pub fn document(engines: &[PlacedServer], services: &[PlacedServer], keys: [&str; 3]) -> Document {
     let [caller, other_caller, operator] = keys;
     let mut backend_servers: Vec<BackendServer> = engines.iter().map(engine).collect();
     for service in [SLOT_SERVICE, STOCK_SERVICE] {
@@ -48,7 +49,7 @@
         backend_servers,
         operators: vec![Operator {
             name: "operator".to_owned(),
-            key_hash: hash(operator),
+            key_hash: hash_key(operator),
         }],
     }
 }
@@ -68,7 +69,7 @@
         priority: 0,
         max_open_requests: 2_000,
         max_requests_per_s: 2_000,
-        key_hashes: vec![hash(key)],
+        key_hashes: vec![hash_key(key)],
     }
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-fn engine((name, zone, address): &Placed) -> BackendServer {
+fn engine((name, zone, address): &PlacedServer) -> BackendServer {
     BackendServer {
         name: name.clone(),
         kind: BackendKind::Engine,
@@ -93,7 +94,7 @@
     }
 }
 
-fn runner((name, zone, address): &Placed, service: &str) -> BackendServer {
+fn runner((name, zone, address): &PlacedServer, service: &str) -> BackendServer {
     BackendServer {
         name: format!("{name}-{service}"),
         kind: BackendKind::Service,
@@ -106,6 +107,6 @@
     }
 }
 
-fn hash(key: &str) -> String {
+fn hash_key(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
--- a/crates/testbed/src/scene_process.rs
+++ b/crates/testbed/src/scene_process.rs
@@ -9,14 +9,14 @@
 use crate::child::Child;
 use crate::child::SceneError;
 
-/// An entry instance.
+/// A running instance, with the addresses that it printed and its settings file.
 pub(crate) struct Instance {
     pub child: Child,
     pub addresses: ListenAddresses,
     pub settings: NamedTempFile,
 }
 
-/// A stand-in.
+/// A running stand-in of an engine, a service runner or the platform.
 pub(crate) struct Standin {
     pub child: Child,
     pub address: SocketAddr,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Settings of an instance, with `lines` added.
+/// Writes the settings file of an instance. `lines` are appended as they are.
 pub(crate) fn settings_file(
     name: &str,
     zone: &str,
--- a/crates/testbed/src/question.rs
+++ b/crates/testbed/src/test_request.rs
@@ -1,4 +1,4 @@
-//! One request of a test, built in a few words.
+//! Builds one HTTP request of a test.
 
 use http::Request;
 use http_body_util::Full;
@@ -7,9 +7,9 @@
 use crate::scene::CALLER_KEY;
 use crate::scene::OPERATOR_KEY;
 
-/// A request with everything that a test may want to get wrong.
+/// A request to an instance. Key, headers, method and body can be set to invalid values.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct TestRequest {
     method: &'static str,
     path: String,
     headers: Vec<(String, String)>,
@@ -17,10 +17,10 @@
     pub(crate) to_operators: bool,
 }
 
-impl Question {
-    /// A `POST` with the key of `quotes`.
+impl TestRequest {
+    /// Creates a `POST` to the callers' address with the key of the workspace `quotes`.
     pub fn post(path: &str, body: impl Into<Bytes>) -> Self {
-        Question {
+        TestRequest {
             method: "POST",
             path: path.to_owned(),
             headers: Vec::new(),
@@ -30,9 +30,9 @@
         .key(CALLER_KEY)
     }
 
-    /// A `GET` to the operators' address with the operator's key.
+    /// Creates a `GET` to the operators' address with the operator's key.
     pub fn operator(path: &str) -> Self {
-        Question {
+        TestRequest {
             method: "GET",
             path: path.to_owned(),
             headers: Vec::new(),
@@ -42,7 +42,7 @@
         .key(OPERATOR_KEY)
     }
 
-    /// Replaces the key; an empty one sends none.
+    /// Replaces the key; an empty key removes the header.
     #[must_use]
     pub fn key(mut self, key: &str) -> Self {
         self.headers.retain(|(name, _)| name != "authorization");
@@ -52,14 +52,14 @@
         self
     }
 
-    /// Adds a header.
+    /// Adds a header; a header of the same name is kept.
     #[must_use]
     pub fn header(mut self, name: &str, value: &str) -> Self {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// Replaces the method.
+    /// Replaces the HTTP method.
     #[must_use]
     pub fn method(mut self, method: &'static str) -> Self {
         self.method = method;
@@ -74,7 +74,8 @@
             builder = builder.header(name, value);
         }
         let body = Full::new(self.body.clone());
-        // An unusable request is a fault of the test: it shows as no answer.
+        // An invalid request is a fault of the test: it is replaced by an empty request,
+        // which gets no answer.
         builder.body(body).unwrap_or_default()
     }
 }
--- a/crates/testbed/tests/bad_input.rs
+++ b/crates/testbed/tests/bad_input.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use iristhread_testbed::OTHER_CALLER_KEY;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use support::assert_whole;
 use support::error_of;
@@ -28,8 +28,8 @@
     format!("{{\"model\": \"quote-narrator\", \"prompt\": \"p [tokens=3]\"{fields}}}")
 }
 
-fn complete(fields: &str) -> Question {
-    Question::post(COMPLETIONS, body(fields))
+fn complete(fields: &str) -> TestRequest {
+    TestRequest::post(COMPLETIONS, body(fields))
 }
 
 async fn scene() -> Scene {
@@ -42,28 +42,28 @@
         .unwrap()
 }
 
-#[test_case(Question::post(COMPLETIONS, "{\"model\":"), 400, "invalid_body"; "malformed json")]
-#[test_case(Question::post(COMPLETIONS, "{\"model\": 7, \"prompt\": \"p\"}"), 400, "invalid_body"; "wrong types")]
-#[test_case(Question::post(COMPLETIONS, "{\"model\": \"none\", \"prompt\": \"p\"}"), 404, "model_not_found"; "unknown model")]
+#[test_case(TestRequest::post(COMPLETIONS, "{\"model\":"), 400, "invalid_body"; "malformed json")]
+#[test_case(TestRequest::post(COMPLETIONS, "{\"model\": 7, \"prompt\": \"p\"}"), 400, "invalid_body"; "wrong types")]
+#[test_case(TestRequest::post(COMPLETIONS, "{\"model\": \"none\", \"prompt\": \"p\"}"), 404, "model_not_found"; "unknown model")]
 #[test_case(complete(", \"adapter\": \"none\""), 404, "adapter_not_found"; "unknown adapter")]
 #[test_case(complete(", \"adapter\": \"oak-finishes\""), 400, "adapter_of_other_model"; "adapter without its model")]
 #[test_case(complete(", \"max_tokens\": 0"), 400, "invalid_max_tokens"; "zero max_tokens")]
 #[test_case(complete(", \"max_tokens\": -5"), 400, "invalid_max_tokens"; "negative max_tokens")]
 #[test_case(complete(", \"max_tokens\": 99999999999"), 400, "invalid_max_tokens"; "huge max_tokens")]
-#[test_case(Question::post("/v1/chat/completions", "{\"model\": \"showroom-chat\", \"messages\": []}"), 400, "no_messages"; "chat without messages")]
-#[test_case(Question::post(COMPLETIONS, vec![b' '; 5_000]), 413, "max_body_bytes"; "body too large")]
+#[test_case(TestRequest::post("/v1/chat/completions", "{\"model\": \"showroom-chat\", \"messages\": []}"), 400, "no_messages"; "chat without messages")]
+#[test_case(TestRequest::post(COMPLETIONS, vec![b' '; 5_000]), 413, "max_body_bytes"; "body too large")]
 #[test_case(complete("").header("x-large", &"x".repeat(9_000)), 431, "max_header_bytes"; "header too large")]
 #[test_case(complete("").key(""), 401, "invalid_api_key"; "no key")]
 #[test_case(complete("").key("wrong"), 401, "invalid_api_key"; "wrong key")]
 #[test_case(complete("").header("last-event-id", "not-a-cursor"), 400, "invalid_cursor"; "malformed cursor")]
-#[test_case(Question::post("/v1/services/none/x", ""), 404, "service_not_found"; "unknown service")]
-#[test_case(Question::post("/v1/services/delivery-slots/x", "").header("iristhread-ticket", "a~b"), 400, "invalid_ticket"; "malformed ticket")]
-#[test_case(Question::post("/v1/nothing", ""), 404, "no_such_path"; "unknown path")]
-#[test_case(Question::operator("/v1/resources/planets"), 404, "unknown_kind"; "unknown resource kind")]
-#[test_case(Question::operator("/v1/resources/models/none"), 404, "no_such_resource"; "unknown resource")]
-#[test_case(Question::operator("/v1/resources/models").key("caller-key-of-quotes"), 401, "invalid_api_key"; "a caller's key at the operators' address")]
+#[test_case(TestRequest::post("/v1/services/none/x", ""), 404, "service_not_found"; "unknown service")]
+#[test_case(TestRequest::post("/v1/services/delivery-slots/x", "").header("iristhread-ticket", "a~b"), 400, "invalid_ticket"; "malformed ticket")]
+#[test_case(TestRequest::post("/v1/nothing", ""), 404, "no_such_path"; "unknown path")]
+#[test_case(TestRequest::operator("/v1/resources/planets"), 404, "unknown_kind"; "unknown resource kind")]
+#[test_case(TestRequest::operator("/v1/resources/models/none"), 404, "no_such_resource"; "unknown resource")]
+#[test_case(TestRequest::operator("/v1/resources/models").key("caller-key-of-quotes"), 401, "invalid_api_key"; "a caller's key at the operators' address")]
 #[tokio::test]
-async fn is_refused_as_not_run(question: Question, status: u16, code: &str) {
+async fn is_refused_as_not_run(question: TestRequest, status: u16, code: &str) {
     let scene = scene().await;
     let caller = scene.caller(&["a1"]);
     let (reply, beside) = tokio::join!(scene.ask("a1", &question), stream(&caller, PROMPT));
@@ -81,12 +81,12 @@
     let scene = scene().await;
     let given = match name {
         "iristhread-ticket" => {
-            let reply = scene.ask("a1", &Question::post(path, "")).await.unwrap();
+            let reply = scene.ask("a1", &TestRequest::post(path, "")).await.unwrap();
             header(&reply, name).to_owned()
         }
         _ => first_cursor(&scene).await,
     };
-    let stolen = Question::post(path, body("")).key(OTHER_CALLER_KEY);
+    let stolen = TestRequest::post(path, body("")).key(OTHER_CALLER_KEY);
     let reply = scene.ask("a1", &stolen.header(name, &given)).await.unwrap();
     assert_eq!(reply.status.as_u16(), 400);
     assert_eq!(header(&reply, "iristhread-outcome"), "not_run");
--- a/crates/testbed/tests/calls.rs
+++ b/crates/testbed/tests/calls.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use iristhread_api::Reply;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use serde_json::Value;
 use serde_json::json;
@@ -22,7 +22,7 @@
 
 async fn ticket(scene: &Scene, instance: &str) -> String {
     let reply = scene
-        .ask(instance, &Question::post(PATH, BODY))
+        .ask(instance, &TestRequest::post(PATH, BODY))
         .await
         .unwrap();
     assert_eq!(reply.status.as_u16(), 428);
@@ -30,8 +30,8 @@
     header(&reply, "iristhread-ticket").to_owned()
 }
 
-fn book(ticket: &str) -> Question {
-    Question::post(PATH, BODY)
+fn book(ticket: &str) -> TestRequest {
+    TestRequest::post(PATH, BODY)
         .header("iristhread-ticket", ticket)
         .header("iristhread-deadline-ms", "1500")
 }
@@ -251,7 +251,7 @@
     }
     scene.fault("orders-2", json!({})).await.unwrap();
     for _ in 0..3 {
-        let question = Question::post("/v1/services/stock/oak", "");
+        let question = TestRequest::post("/v1/services/stock/oak", "");
         let reply = scene.ask("a1", &question).await.unwrap();
         assert_eq!(outcome(&reply), expected);
     }
--- a/crates/testbed/tests/configuration.rs
+++ b/crates/testbed/tests/configuration.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use iristhread_testbed::LinkState;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use serde_json::json;
 use support::assert_whole;
@@ -20,7 +20,7 @@
 }
 
 async fn is_ready(scene: &Scene, instance: &str) -> bool {
-    let question = Question::post("/readyz", "").method("GET");
+    let question = TestRequest::post("/readyz", "").method("GET");
     let reply = scene.ask(instance, &question).await;
     reply.is_ok_and(|reply| reply.status.as_u16() == 200)
 }
--- a/crates/testbed/tests/ending_requests.rs
+++ b/crates/testbed/tests/ending_requests.rs
@@ -7,8 +7,8 @@
 
 use std::time::Duration;
 
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use serde_json::json;
 use support::assert_whole;
 use support::error_of;
@@ -63,7 +63,7 @@
     }
     let path = "/v1/services/delivery-slots/book";
     for _ in 0..ENGINES {
-        let asked = Question::post(path, "the call at fault");
+        let asked = TestRequest::post(path, "the call at fault");
         let ticket = scene.ask("a1", &asked).await.unwrap();
         let ticket = header(&ticket, "iristhread-ticket").to_owned();
         let call = asked.header("iristhread-ticket", &ticket);
--- a/crates/testbed/tests/leaving_callers.rs
+++ b/crates/testbed/tests/leaving_callers.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use serde_json::json;
 
@@ -19,15 +19,15 @@
     list.items[0].observed["open_requests"].as_u64().unwrap()
 }
 
-async fn leave_early(scene: &Scene, question: &Question) {
+async fn leave_early(scene: &Scene, question: &TestRequest) {
     let left = tokio::time::timeout(PATIENCE, scene.ask("a1", question)).await;
     assert!(left.is_err());
 }
 
-fn completion(prompt: &str) -> Question {
+fn completion(prompt: &str) -> TestRequest {
     let body =
         format!("{{\"model\": \"quote-narrator\", \"prompt\": \"{prompt}\", \"stream\": true}}");
-    Question::post("/v1/completions", body)
+    TestRequest::post("/v1/completions", body)
 }
 
 #[tokio::test]
@@ -37,7 +37,7 @@
         .fault("orders-1", json!({ "delay_ms": 2_000 }))
         .await
         .unwrap();
-    leave_early(&scene, &Question::post("/v1/services/stock/oak", "")).await;
+    leave_early(&scene, &TestRequest::post("/v1/services/stock/oak", "")).await;
     let nothing_open = async || open_requests(&scene).await == 0;
     eventually("no request is open", nothing_open)
         .await
--- a/crates/testbed/tests/programs.rs
+++ b/crates/testbed/tests/programs.rs
@@ -9,8 +9,8 @@
 use iristhread_api::ResourceKind;
 use iristhread_cli::explain;
 use iristhread_core::HybridTime;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use support::assert_whole;
 use support::stream;
@@ -32,7 +32,7 @@
     // The process takes the signal a moment later; beside busy processes the
     // question may come first.
     let unready = eventually("it is not ready", async || {
-        let question = Question::post("/readyz", "").method("GET");
+        let question = TestRequest::post("/readyz", "").method("GET");
         let reply = scene.ask("a1", &question).await;
         reply.is_err() || reply.is_ok_and(|reply| reply.status.as_u16() == 503)
     });
--- a/crates/testbed/tests/server_notices.rs
+++ b/crates/testbed/tests/server_notices.rs
@@ -13,8 +13,8 @@
 use iristhread_core::HybridTime;
 use iristhread_core::TimelineEvent;
 use iristhread_core::TimelineRecord;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use serde_json::Value;
 use serde_json::json;
@@ -35,7 +35,7 @@
 
 async fn ask_stock(scene: &Scene) {
     scene
-        .ask("a1", &Question::post(STOCK, "oak"))
+        .ask("a1", &TestRequest::post(STOCK, "oak"))
         .await
         .unwrap();
 }
@@ -136,7 +136,7 @@
     scene.fault(&engine, fault).await.unwrap();
     until_refused(&scene, &engine).await;
     let body = serde_json::to_vec(&support::completion(PROMPT, Vec::new())).unwrap();
-    let question = Question::post("/v1/completions", body);
+    let question = TestRequest::post("/v1/completions", body);
     let question = question.header("content-type", "application/json");
     let reply = scene.ask("a1", &question).await.unwrap();
     assert_eq!(reply.status.as_u16(), 503);
@@ -208,7 +208,7 @@
     let mut refused = 0;
     for _ in 0..LATER {
         let reply = scene
-            .ask("a1", &Question::post(STOCK, "oak"))
+            .ask("a1", &TestRequest::post(STOCK, "oak"))
             .await
             .unwrap();
         if reply.status.as_u16() == 503 {
--- a/crates/testbed/tests/stopping.rs
+++ b/crates/testbed/tests/stopping.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use futures::future::join_all;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use serde_json::json;
 use support::assert_whole;
@@ -18,7 +18,7 @@
 
 async fn ticket(scene: &Scene, instance: &str) -> String {
     let reply = scene
-        .ask(instance, &Question::post(PATH, BODY))
+        .ask(instance, &TestRequest::post(PATH, BODY))
         .await
         .unwrap();
     header(&reply, "iristhread-ticket").to_owned()
@@ -44,7 +44,7 @@
         .await
         .unwrap();
     let ticket = ticket(&scene, "a1").await;
-    let call = Question::post(PATH, BODY).header("iristhread-ticket", &ticket);
+    let call = TestRequest::post(PATH, BODY).header("iristhread-ticket", &ticket);
     let answer = async { scene.ask(sent_to, &call).await.unwrap() };
     let stopped = async {
         until_executed(&scene).await;
--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -13,8 +13,8 @@
 use iristhread_core::TimelineEvent;
 use iristhread_core::TimelineRecord;
 use iristhread_testbed::LinkState;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use iristhread_testbed::eventually;
 use serde_json::Value;
 use serde_json::json;
@@ -151,7 +151,7 @@
     let caller = scene.caller(&["a1"]);
     let prompt = "a quote after a silence [tokens=30]";
     assert_whole(&stream(&caller, prompt).await.unwrap(), prompt);
-    scene.silence_link("engine-a1");
+    scene.stall_open_connections("engine-a1");
     assert_whole(&stream(&caller, prompt).await.unwrap(), prompt);
     assert!(!records(&scene, "a1").await.iter().any(is_lost));
 }
@@ -213,7 +213,7 @@
 async fn a_caller_that_comes_back_in_vain_is_not_told_not_run() {
     let mut scene = Scene::builder(1).start().await.unwrap();
     let body = "{\"model\": \"quote-narrator\", \"stream\": true, \"prompt\": \"p [tokens=3]\"}";
-    let question = Question::post("/v1/completions", body);
+    let question = TestRequest::post("/v1/completions", body);
     let reply = scene.ask("a1", &question).await.unwrap();
     let text = String::from_utf8_lossy(&reply.body).into_owned();
     let cursor = text
@@ -228,7 +228,7 @@
     assert_eq!(support::header(&reply, "iristhread-outcome"), "unknown");
     let first = "\"received\": [\"FIRST\"], \"model\"".replace("FIRST", &first_token(&text));
     let with_text = body.replace("\"model\"", &first);
-    let back = Question::post("/v1/completions", with_text).header("last-event-id", &cursor);
+    let back = TestRequest::post("/v1/completions", with_text).header("last-event-id", &cursor);
     let reply = scene
         .ask("a1", &back.header("iristhread-deadline-ms", "300"))
         .await
--- a/crates/testbed/tests/tool.rs
+++ b/crates/testbed/tests/tool.rs
@@ -3,8 +3,8 @@
 
 use iristhread_testbed::CALLER_KEY;
 use iristhread_testbed::OPERATOR_KEY;
-use iristhread_testbed::Question;
 use iristhread_testbed::Scene;
+use iristhread_testbed::TestRequest;
 use tokio::process::Command;
 
 struct Printed {
@@ -85,7 +85,7 @@
     let settings = "[limits]\nmax_streams = 1";
     let scene = Scene::builder(1).settings(settings).start().await.unwrap();
     let body = "{\"model\": \"quote-narrator\", \"prompt\": \"p [tokens=200]\", \"stream\": true}";
-    let question = Question::post("/v1/completions", body);
+    let question = TestRequest::post("/v1/completions", body);
     let (one, other) = tokio::join!(scene.ask("a1", &question), scene.ask("a1", &question));
     let mut statuses = [one.unwrap(), other.unwrap()].map(|reply| reply.status.as_u16());
     statuses.sort_unstable();
