--- a/crates/testbed/tests/bad_input.rs
+++ b/crates/testbed/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input gets a clear error in the shape of the interface, and other
-//! callers notice nothing.
+//! Invalid input is answered with an error in the format of the interface, and requests of
+//! other callers are not affected.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -19,7 +19,7 @@
 use tokio::net::TcpStream;
 
 const COMPLETIONS: &str = "/v1/completions";
-/// Small, so that a reader that stops reading is soon felt.
+/// Small, so that writes of the instance block soon after the caller stops reading.
 const RECEIVE_BUFFER_BYTES: u32 = 4_096;
 
 const PROMPT: &str = "a quote beside bad input [tokens=20]";
@@ -63,44 +63,47 @@
 #[test_case(TestRequest::operator("/v1/resources/models/none"), 404, "no_such_resource"; "unknown resource")]
 #[test_case(TestRequest::operator("/v1/resources/models").key("caller-key-of-quotes"), 401, "invalid_api_key"; "a caller's key at the operators' address")]
 #[tokio::test]
-async fn is_refused_as_not_run(question: TestRequest, status: u16, code: &str) {
+async fn is_refused_as_not_run(request: TestRequest, status: u16, code: &str) {
     let scene = scene().await;
     let caller = scene.caller(&["a1"]);
-    let (reply, beside) = tokio::join!(scene.ask("a1", &question), stream(&caller, PROMPT));
+    let (reply, concurrent) = tokio::join!(scene.ask("a1", &request), stream(&caller, PROMPT));
     let reply = reply.unwrap();
     assert_eq!(reply.status.as_u16(), status);
     assert_eq!(error_of(&reply).error.code, code);
     assert_eq!(header(&reply, "iristhread-outcome"), "not_run");
-    assert_whole(&beside.unwrap(), PROMPT);
+    assert_whole(&concurrent.unwrap(), PROMPT);
 }
 
 #[test_case("/v1/completions", "last-event-id"; "cursor")]
 #[test_case("/v1/services/delivery-slots/book", "iristhread-ticket"; "ticket")]
 #[tokio::test]
-async fn what_another_workspace_was_given_is_refused(path: &str, name: &str) {
+async fn cursor_or_ticket_of_another_workspace_is_refused(path: &str, name: &str) {
     let scene = scene().await;
-    let given = match name {
+    let issued = match name {
         "iristhread-ticket" => {
             let reply = scene.ask("a1", &TestRequest::post(path, "")).await.unwrap();
             header(&reply, name).to_owned()
         }
         _ => first_cursor(&scene).await,
     };
-    let stolen = TestRequest::post(path, body("")).key(OTHER_CALLER_KEY);
-    let reply = scene.ask("a1", &stolen.header(name, &given)).await.unwrap();
+    let foreign = TestRequest::post(path, body("")).key(OTHER_CALLER_KEY);
+    let reply = scene
+        .ask("a1", &foreign.header(name, &issued))
+        .await
+        .unwrap();
     assert_eq!(reply.status.as_u16(), 400);
     assert_eq!(header(&reply, "iristhread-outcome"), "not_run");
 }
 
 async fn first_cursor(scene: &Scene) -> String {
-    let question = complete(", \"stream\": true");
-    let reply = scene.ask("a1", &question).await.unwrap();
+    let request = complete(", \"stream\": true");
+    let reply = scene.ask("a1", &request).await.unwrap();
     let text = String::from_utf8_lossy(&reply.body).into_owned();
     let id = text.lines().find_map(|line| line.strip_prefix("id: "));
     id.unwrap().to_owned()
 }
 
-async fn raw(scene: &Scene, head_and_body: &str) -> TcpStream {
+async fn send_raw(scene: &Scene, head_and_body: &str) -> TcpStream {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).unwrap();
     let address = scene.addresses("a1").callers;
@@ -116,9 +119,9 @@
 }
 
 #[tokio::test]
-async fn a_slow_sender_is_told_its_limit() {
+async fn a_slow_sender_gets_the_limit_in_the_error() {
     let scene = scene().await;
-    let mut socket = raw(&scene, &(head(100) + "{\"mod")).await;
+    let mut socket = send_raw(&scene, &(head(100) + "{\"mod")).await;
     let mut answer = vec![0; 4_096];
     let length = socket.read(&mut answer).await.unwrap();
     let answer = String::from_utf8_lossy(&answer[..length]).into_owned();
@@ -126,18 +129,19 @@
     assert!(answer.contains("body_timeout_ms"), "{answer}");
 }
 
-/// A caller that is lost in the middle frees its engine and disturbs nobody.
+/// The engine of a caller that is lost during a stream becomes idle, and streams of other
+/// callers stay complete.
 #[test_case(true; "reader that stops reading")]
 #[test_case(false; "connection dropped in the middle")]
 #[tokio::test]
 async fn a_lost_caller_frees_its_engine(stays_connected: bool) {
     let scene = scene().await;
-    let long =
+    let body =
         "{\"model\": \"quote-narrator\", \"stream\": true, \"prompt\": \"long [tokens=8000]\"}";
-    let mut socket = raw(&scene, &(head(long.len()) + long)).await;
+    let mut socket = send_raw(&scene, &(head(body.len()) + body)).await;
     let mut first = [0; 64];
     socket.read_exact(&mut first).await.unwrap();
-    let kept = stays_connected.then_some(socket);
+    let open_socket = stays_connected.then_some(socket);
     assert_whole(
         &stream(&scene.caller(&["a1"]), PROMPT).await.unwrap(),
         PROMPT,
@@ -151,5 +155,5 @@
     })
     .await
     .unwrap();
-    drop(kept);
+    drop(open_socket);
 }
--- a/crates/testbed/tests/calls.rs
+++ b/crates/testbed/tests/calls.rs
@@ -1,6 +1,6 @@
-//! Calls that may not be repeated run at most once, and what was told `not_run`
-//! did not run. The service stand-in does not check keys: nothing but the
-//! system's own conduct protects it.
+//! Calls that are not repeatable run at most once, and a call reported as `not_run` did not
+//! run. The service stand-in does not check idempotency keys, so it runs every call that it
+//! receives: only the instances prevent a second execution.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -30,7 +30,7 @@
     header(&reply, "iristhread-ticket").to_owned()
 }
 
-fn book(ticket: &str) -> TestRequest {
+fn booking(ticket: &str) -> TestRequest {
     TestRequest::post(PATH, BODY)
         .header("iristhread-ticket", ticket)
         .header("iristhread-deadline-ms", "1500")
@@ -55,10 +55,10 @@
     let scene = Scene::builder(1).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
     scene.fault("orders-1", faults).await.unwrap();
-    let first = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let first = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&first), expected);
     scene.fault("orders-1", json!({})).await.unwrap();
-    let again = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let again = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&again), expected);
     assert_eq!(again.body, first.body);
     assert_eq!(executed(&scene).await, executions);
@@ -71,37 +71,39 @@
     for runner in ["orders-1", "orders-2"] {
         scene.fault(runner, json!({ "die": true })).await.unwrap();
     }
-    let reply = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let reply = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&reply), "unknown");
-    // A process that dies still takes connections for a moment after its last word.
-    eventually("a runner is dead", async || answering(&scene).await < 2)
-        .await
-        .unwrap();
+    // A process that exits still accepts connections for a short time after its last output.
+    eventually("a runner is dead", async || {
+        reachable_runners(&scene).await < 2
+    })
+    .await
+    .unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
     assert_eq!(
-        answering(&scene).await,
+        reachable_runners(&scene).await,
         1,
         "only the first runner was sent the call"
     );
 }
 
-/// Runners of the service that take a connection.
-async fn answering(scene: &Scene) -> usize {
-    let mut answering = 0;
+/// Returns the number of runners of the service that accept a connection.
+async fn reachable_runners(scene: &Scene) -> usize {
+    let mut reachable = 0;
     for name in ["orders-1", "orders-2"] {
         let address = scene.standin_address(name);
-        answering += usize::from(tokio::net::TcpStream::connect(address).await.is_ok());
+        reachable += usize::from(tokio::net::TcpStream::connect(address).await.is_ok());
     }
-    answering
+    reachable
 }
 
 #[tokio::test]
-async fn a_dead_runner_is_passed_over_because_nothing_was_written() {
+async fn a_dead_runner_is_skipped_because_nothing_was_written() {
     let mut scene = Scene::builder(1).services(2).start().await.unwrap();
     scene.process("orders-1").kill().await;
     for _ in 0..4 {
         let ticket = ticket(&scene, "a1").await;
-        let reply = scene.ask("a1", &book(&ticket)).await.unwrap();
+        let reply = scene.ask("a1", &booking(&ticket)).await.unwrap();
         assert_eq!(outcome(&reply), "ran");
     }
 }
@@ -111,7 +113,7 @@
     let mut scene = Scene::builder(1).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
     scene.process("orders-1").kill().await;
-    let reply = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let reply = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&reply), "not_run");
     assert_eq!(error_of(&reply).error.code, "no_backend");
 }
@@ -126,8 +128,8 @@
         .await
         .unwrap();
     let ticket = ticket(&scene, "a1").await;
-    let before = scene.ask(other, &book(&ticket)).await.unwrap();
-    let after = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let before = scene.ask(other, &booking(&ticket)).await.unwrap();
+    let after = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!((outcome(&before), outcome(&after)), ("ran", "ran"));
     assert_eq!(before.body, after.body);
     assert_eq!(executed(&scene).await, 1);
@@ -141,7 +143,7 @@
         .await
         .unwrap();
     let ticket = ticket(&scene, "a1").await;
-    let call = book(&ticket);
+    let call = booking(&ticket);
     let (one, other) = tokio::join!(scene.ask("a1", &call), scene.ask("b1", &call));
     let (one, other) = (one.unwrap(), other.unwrap());
     assert_eq!((outcome(&one), outcome(&other)), ("ran", "ran"));
@@ -154,7 +156,7 @@
     let mut scene = Scene::builder(2).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
     scene.process("a1").kill().await;
-    let reply = scene.ask("b1", &book(&ticket)).await.unwrap();
+    let reply = scene.ask("b1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&reply), "unknown");
     assert_eq!(executed(&scene).await, 0);
 }
@@ -163,51 +165,49 @@
 async fn an_instance_restarted_with_empty_memory_honours_no_old_ticket() {
     let mut scene = Scene::builder(2).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
-    let ran = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let ran = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&ran), "ran");
     scene.restart("a1").await.unwrap();
     scene.list_instances(&[]).await.unwrap();
     scene.in_force(1, &scene.instance_names()).await.unwrap();
-    let again = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let again = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&again), "unknown");
     assert_eq!(executed(&scene).await, 1);
 }
 
-/// The instance is frozen with the call in its socket; it wakes after the
-/// deadline that the caller was given.
-/// The answer arrives while the instance stands still, past the deadline: it is
-/// read when the instance wakes.
+/// The instance is frozen while the runner executes the call, and resumes after the caller's
+/// deadline. The answer arrives in its socket meanwhile and is read when the instance resumes.
 #[tokio::test]
 async fn an_answer_that_came_while_the_instance_was_frozen_is_not_lost() {
     let mut scene = Scene::builder(2).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
     let slow = json!({ "delay_ms": 300 });
     scene.fault("orders-1", slow).await.unwrap();
-    let question = book(&ticket);
-    let first = scene.ask("b1", &question);
+    let request = booking(&ticket);
+    let first = scene.ask("b1", &request);
     let freeze = async {
         while executed(&scene).await == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         scene.instance("a1").freeze();
     };
-    let (told, ()) = tokio::join!(first, freeze);
-    assert_eq!(outcome(&told.unwrap()), "unknown");
+    let (reply, ()) = tokio::join!(first, freeze);
+    assert_eq!(outcome(&reply.unwrap()), "unknown");
     scene.process("a1").thaw();
-    let again = scene.ask("b1", &book(&ticket)).await.unwrap();
+    let again = scene.ask("b1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&again), "ran");
     assert_eq!(executed(&scene).await, 1);
 }
 
 #[tokio::test]
-async fn an_instance_frozen_before_sending_doubles_nothing() {
+async fn a_call_at_an_instance_frozen_before_sending_runs_once() {
     let mut scene = Scene::builder(2).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
     scene.process("a1").freeze();
-    let told = scene.ask("b1", &book(&ticket)).await.unwrap();
-    assert_eq!(outcome(&told), "unknown");
+    let reply = scene.ask("b1", &booking(&ticket)).await.unwrap();
+    assert_eq!(outcome(&reply), "unknown");
     scene.process("a1").thaw();
-    let again = scene.ask("b1", &book(&ticket)).await.unwrap();
+    let again = scene.ask("b1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&again), "ran");
     assert_eq!(executed(&scene).await, 1);
 }
@@ -217,23 +217,24 @@
     let settings = "ticket_lifetime_ms = 1000";
     let scene = Scene::builder(1).settings(settings).start().await.unwrap();
     let ticket = ticket(&scene, "a1").await;
-    // Past the lifetime on the instance's own clock; slower machines only add.
+    // Longer than the ticket's lifetime on the clock of the instance; a slower machine only
+    // makes the delay longer.
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    let reply = scene.ask("a1", &book(&ticket)).await.unwrap();
+    let reply = scene.ask("a1", &booking(&ticket)).await.unwrap();
     assert_eq!(outcome(&reply), "not_run");
     assert_eq!(error_of(&reply).error.code, "ticket_expired");
     assert_eq!(executed(&scene).await, 0);
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_cuts_no_call() {
+async fn a_caller_that_disconnects_does_not_cancel_its_call() {
     let scene = Scene::builder(1).start().await.unwrap();
     scene
         .fault("orders-1", json!({ "delay_ms": 300 }))
         .await
         .unwrap();
     let ticket = ticket(&scene, "a1").await;
-    let call = book(&ticket);
+    let call = booking(&ticket);
     let left = tokio::time::timeout(Duration::from_millis(100), scene.ask("a1", &call)).await;
     assert!(left.is_err());
     let reply = scene.ask("a1", &call).await.unwrap();
@@ -244,15 +245,15 @@
 #[test_case(json!({ "drop_before": 1 }), "ran"; "tried again after a cut")]
 #[test_case(json!({ "drop_after": 1 }), "ran"; "tried again after a lost answer")]
 #[tokio::test]
-async fn a_call_that_may_be_repeated_is(faults: Value, expected: &str) {
+async fn a_repeatable_call_is_retried(faults: Value, expected: &str) {
     let scene = Scene::builder(1).services(2).start().await.unwrap();
     for runner in ["orders-1", "orders-2"] {
         scene.fault(runner, faults.clone()).await.unwrap();
     }
     scene.fault("orders-2", json!({})).await.unwrap();
     for _ in 0..3 {
-        let question = TestRequest::post("/v1/services/stock/oak", "");
-        let reply = scene.ask("a1", &question).await.unwrap();
+        let request = TestRequest::post("/v1/services/stock/oak", "");
+        let reply = scene.ask("a1", &request).await.unwrap();
         assert_eq!(outcome(&reply), expected);
     }
 }
--- a/crates/testbed/tests/configuration.rs
+++ b/crates/testbed/tests/configuration.rs
@@ -20,12 +20,12 @@
 }
 
 async fn is_ready(scene: &Scene, instance: &str) -> bool {
-    let question = TestRequest::post("/readyz", "").method("GET");
-    let reply = scene.ask(instance, &question).await;
+    let request = TestRequest::post("/readyz", "").method("GET");
+    let reply = scene.ask(instance, &request).await;
     reply.is_ok_and(|reply| reply.status.as_u16() == 200)
 }
 
-/// In both zones, by readers and by peers that read nothing.
+/// Covers both zones, instances that read from the platform and peers that don't.
 #[tokio::test]
 async fn a_change_reaches_every_instance() {
     let scene = Scene::builder(2)
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn a_stale_replica_takes_nobody_back() {
+async fn a_stale_replica_reverts_no_instance() {
     let mut scene = Scene::builder(2).start().await.unwrap();
     let version = scene.publish_document().await.unwrap();
     scene
@@ -92,7 +92,7 @@
     );
 }
 
-/// Its seed peer alone can tell it the configuration.
+/// The seed peer is its only source of the configuration.
 #[tokio::test]
 async fn an_instance_that_restarts_in_an_outage_asks_its_peers() {
     let mut scene = Scene::builder(1)
@@ -137,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn in_an_outage_everything_is_served_and_its_age_is_told() {
+async fn in_an_outage_requests_are_served_and_the_config_age_is_reported() {
     let scene = Scene::builder(2).start().await.unwrap();
     scene
         .platform_fault(json!({ "outage": true }))
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn an_instance_that_sleeps_and_wakes_catches_up() {
+async fn a_frozen_instance_catches_up_after_it_resumes() {
     let mut scene = Scene::builder(1)
         .instances_per_zone(2)
         .start()
@@ -173,14 +173,14 @@
         .unwrap();
 }
 
-/// A leaving engine gets nothing new, and what runs there finishes.
+/// A draining engine gets no new streams, and the stream that runs there completes.
 #[tokio::test]
-async fn a_leaving_engine_gets_no_new_work() {
+async fn a_draining_engine_gets_no_new_work() {
     let mut scene = Scene::builder(1).engines_per_zone(2).start().await.unwrap();
     let caller = scene.caller(&["a1"]);
     let long = "a quote that outlives the notice [tokens=150]";
     let running = tokio::spawn(async move { stream(&caller, long).await });
-    support::until_begun(&scene, "a1").await;
+    support::wait_for_first_token(&scene, "a1").await;
     scene.document.backend_servers[0].leaving = true;
     let version = scene.publish_document().await.unwrap();
     scene
@@ -203,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_gives_notice_itself_gets_no_new_work() {
+async fn an_engine_that_reports_draining_gets_no_new_work() {
     let scene = Scene::builder(1).engines_per_zone(2).start().await.unwrap();
     scene
         .fault("engine-a1", json!({ "leaving": true }))
@@ -225,7 +225,7 @@
     }
 }
 
-/// Only the other zone's instances can tell it of the change.
+/// Instances of the other zone are the only source of the change.
 #[tokio::test]
 async fn a_zone_cut_from_the_platform_learns_from_the_other_zone() {
     let builder = Scene::builder(2).instances_per_zone(2).with_links();
@@ -242,10 +242,10 @@
     );
 }
 
-/// The peer that has the news listens elsewhere than the old list says, so the
-/// cut zone can't ask it: the peer has to bring the news.
+/// The peer with the new version listens at another address than the old instance list says,
+/// so the zone without the platform can't query it: the peer has to push the update.
 #[tokio::test]
-async fn news_reaches_a_cut_zone_whose_list_is_out_of_date() {
+async fn an_update_reaches_a_cut_zone_with_an_outdated_instance_list() {
     let mut scene = Scene::builder(2).with_links().start().await.unwrap();
     scene.set_link("a", LinkState::Cut);
     scene.restart("b1").await.unwrap();
--- a/crates/testbed/tests/leaving_callers.rs
+++ b/crates/testbed/tests/leaving_callers.rs
@@ -1,4 +1,4 @@
-//! A caller that leaves early gives everything back.
+//! The resources of a caller that disconnects early are released.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use iristhread_testbed::eventually;
 use serde_json::json;
 
-const PATIENCE: Duration = Duration::from_millis(200);
+const DISCONNECT_AFTER: Duration = Duration::from_millis(200);
 
 async fn open_requests(scene: &Scene) -> u64 {
     let list = scene
@@ -19,8 +19,8 @@
     list.items[0].observed["open_requests"].as_u64().unwrap()
 }
 
-async fn leave_early(scene: &Scene, question: &TestRequest) {
-    let left = tokio::time::timeout(PATIENCE, scene.ask("a1", question)).await;
+async fn disconnect_early(scene: &Scene, request: &TestRequest) {
+    let left = tokio::time::timeout(DISCONNECT_AFTER, scene.ask("a1", request)).await;
     assert!(left.is_err());
 }
 
@@ -31,22 +31,22 @@
 }
 
 #[tokio::test]
-async fn in_the_middle_of_a_call() {
+async fn during_a_call() {
     let scene = Scene::builder(1).start().await.unwrap();
     scene
         .fault("orders-1", json!({ "delay_ms": 2_000 }))
         .await
         .unwrap();
-    leave_early(&scene, &TestRequest::post("/v1/services/stock/oak", "")).await;
+    disconnect_early(&scene, &TestRequest::post("/v1/services/stock/oak", "")).await;
     let nothing_open = async || open_requests(&scene).await == 0;
     eventually("no request is open", nothing_open)
         .await
         .unwrap();
 }
 
-/// The only engine has no room, so the second request waits at the entry.
+/// The memory of the only engine is full, so the second request waits in the instance's queue.
 #[tokio::test]
-async fn while_waiting_for_room() {
+async fn while_queued() {
     let builder = Scene::builder(1).engine_flags(&["--memory-tokens", "120"]);
     let scene = builder.start().await.unwrap();
     let long = completion("long [tokens=400]");
@@ -55,7 +55,7 @@
         eventually("one is open", async || open_requests(&scene).await == 1)
             .await
             .unwrap();
-        leave_early(&scene, &completion("waits [tokens=400]")).await;
+        disconnect_early(&scene, &completion("waits [tokens=400]")).await;
         let one_open = async || open_requests(&scene).await == 1;
         eventually("one is open again", one_open).await.unwrap();
     };
--- a/crates/testbed/tests/programs.rs
+++ b/crates/testbed/tests/programs.rs
@@ -1,4 +1,4 @@
-//! The programs: settings, planned stop, operators' interface, explanations.
+//! Tests of the programs: settings, planned stop, operators' interface, `explain`.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -27,17 +27,20 @@
         .unwrap();
     let caller = scene.caller(&["a1"]);
     let running = tokio::spawn(async move { stream(&caller, PROMPT).await });
-    support::until_begun(&scene, "a1").await;
+    support::wait_for_first_token(&scene, "a1").await;
     scene.process("a1").stop();
-    // The process takes the signal a moment later; beside busy processes the
-    // question may come first.
+    // The process handles the signal after a delay; on a busy machine the request may arrive
+    // first.
     let unready = eventually("it is not ready", async || {
-        let question = TestRequest::post("/readyz", "").method("GET");
-        let reply = scene.ask("a1", &question).await;
+        let request = TestRequest::post("/readyz", "").method("GET");
+        let reply = scene.ask("a1", &request).await;
         reply.is_err() || reply.is_ok_and(|reply| reply.status.as_u16() == 503)
     });
     unready.await.unwrap();
-    assert!(!running.is_finished(), "it turned unready too late");
+    assert!(
+        !running.is_finished(),
+        "the instance became unready only after the stream had ended"
+    );
     let outcome = running.await.unwrap().unwrap();
     assert_whole(&outcome, PROMPT);
     assert_eq!(outcome.connections, 1);
@@ -80,7 +83,7 @@
     let outcome = stream(&scene.caller(&["a1"]), PROMPT).await.unwrap();
     let operator = scene.operator("b1");
     let timeline = operator.timeline(Some(&outcome.request), HybridTime::default());
-    let story = explain(&timeline.await.unwrap().records);
+    let trace = explain(&timeline.await.unwrap().records);
     for part in [
         "wants an engine",
         "candidates",
@@ -88,7 +91,7 @@
         "first token",
         "outcome ran",
     ] {
-        assert!(story.contains(part), "{part} is not in: {story}");
+        assert!(trace.contains(part), "{part} is not in: {trace}");
     }
 }
 
@@ -142,10 +145,10 @@
 async fn wait_returns_when_a_version_is_in_force_everywhere() {
     let scene = Scene::builder(2).start().await.unwrap();
     let version = scene.publish_document().await.unwrap();
-    let patience = Duration::from_secs(20);
+    let timeout = Duration::from_secs(20);
     scene
         .operator("b1")
-        .wait(version, patience, |_, _| {})
+        .wait(version, timeout, |_, _| {})
         .await
         .unwrap();
     let too_new = scene
--- a/crates/testbed/tests/stopping.rs
+++ b/crates/testbed/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing: not a stream, not a call.
+//! A planned stop of an instance interrupts no stream and no call.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 mod support;
@@ -24,7 +24,7 @@
     header(&reply, "iristhread-ticket").to_owned()
 }
 
-async fn until_executed(scene: &Scene) {
+async fn wait_until_executed(scene: &Scene) {
     eventually("the call is being executed", async || {
         let executions = scene.executions().await;
         executions.is_ok_and(|e| e.by_body.contains_key(BODY))
@@ -33,7 +33,8 @@
     .unwrap();
 }
 
-/// The ticket's instance stops while the call runs, whichever got the call.
+/// The instance that issued the ticket stops while the call runs, whichever instance received
+/// the call.
 #[test_case("a1"; "sent to the instance itself")]
 #[test_case("b1"; "forwarded by another instance")]
 #[tokio::test]
@@ -47,7 +48,7 @@
     let call = TestRequest::post(PATH, BODY).header("iristhread-ticket", &ticket);
     let answer = async { scene.ask(sent_to, &call).await.unwrap() };
     let stopped = async {
-        until_executed(&scene).await;
+        wait_until_executed(&scene).await;
         scene.signal_stop("a1");
     };
     let (reply, ()) = tokio::join!(answer, stopped);
@@ -65,7 +66,7 @@
         let caller = scene.caller(&[name]);
         let streams = join_all(prompts.iter().map(|prompt| stream(&caller, prompt)));
         let stopped = async {
-            support::until_begun(&scene, name).await;
+            support::wait_for_first_token(&scene, name).await;
             scene.signal_stop(name);
         };
         let (outcomes, ()) = tokio::join!(streams, stopped);
--- a/crates/testbed/tests/streams.rs
+++ b/crates/testbed/tests/streams.rs
@@ -22,14 +22,14 @@
 use support::stream;
 use test_case::test_case;
 
-/// Streams at once, so that some run on the engine with the fault.
+/// Number of concurrent streams, so that some run on the engine with the fault.
 const STREAMS: usize = 6;
 
 fn prompt(number: usize) -> String {
     format!("quote number {number} under faults [tokens=60]")
 }
 
-async fn all_whole(caller: &Caller) {
+async fn assert_all_whole(caller: &Caller) {
     let prompts: Vec<String> = (0..STREAMS).map(prompt).collect();
     let outcomes = join_all(prompts.iter().map(|prompt| stream(caller, prompt))).await;
     for (outcome, prompt) in outcomes.into_iter().zip(&prompts) {
@@ -65,7 +65,7 @@
 async fn a_faulty_engine_spoils_no_stream(faults: Value) {
     let scene = Scene::builder(1).engines_per_zone(2).start().await.unwrap();
     scene.fault("engine-a1", faults).await.unwrap();
-    all_whole(&scene.caller(&["a1"])).await;
+    assert_all_whole(&scene.caller(&["a1"])).await;
 }
 
 #[tokio::test]
@@ -77,26 +77,26 @@
         .start()
         .await
         .unwrap();
-    all_whole(&scene.caller(&["a1"])).await;
+    assert_all_whole(&scene.caller(&["a1"])).await;
     let preempted = |r: &TimelineRecord| matches!(r.event, TimelineEvent::Preempted { .. });
     assert!(records(&scene, "a1").await.iter().any(preempted));
 }
 
-/// What is done to a process while streams run.
+/// Fault of a process that occurs while streams run.
 #[derive(Clone, Copy)]
-enum Blow {
+enum ProcessFault {
     Kill,
     FreezeAndThaw,
 }
 
-async fn strike(scene: &mut Scene, name: &str, blow: Blow) {
-    match blow {
-        Blow::Kill => scene.process(name).kill().await,
-        Blow::FreezeAndThaw => scene.process(name).freeze(),
+async fn inject(scene: &mut Scene, name: &str, fault: ProcessFault) {
+    match fault {
+        ProcessFault::Kill => scene.process(name).kill().await,
+        ProcessFault::FreezeAndThaw => scene.process(name).freeze(),
     }
 }
 
-async fn first_tokens(scene: &Scene, instance: &str, count: usize) {
+async fn wait_for_first_tokens(scene: &Scene, instance: &str, count: usize) {
     eventually("streams have begun", async || {
         let begun = |r: &&TimelineRecord| matches!(r.event, TimelineEvent::FirstToken { .. });
         records(scene, instance).await.iter().filter(begun).count() >= count
@@ -105,27 +105,27 @@
     .unwrap();
 }
 
-#[test_case(Blow::Kill; "killed")]
-#[test_case(Blow::FreezeAndThaw; "frozen and woken after the streams went on")]
+#[test_case(ProcessFault::Kill; "killed")]
+#[test_case(ProcessFault::FreezeAndThaw; "frozen and woken after the streams went on")]
 #[tokio::test]
-async fn an_engine_is_struck_in_the_middle(blow: Blow) {
+async fn an_engine_is_struck_in_the_middle(fault: ProcessFault) {
     let mut scene = Scene::builder(1).engines_per_zone(2).start().await.unwrap();
     let caller = scene.caller(&["a1"]);
-    let running = tokio::spawn(async move { all_whole(&caller).await });
-    first_tokens(&scene, "a1", STREAMS).await;
-    strike(&mut scene, "engine-a1", blow).await;
+    let running = tokio::spawn(async move { assert_all_whole(&caller).await });
+    wait_for_first_tokens(&scene, "a1", STREAMS).await;
+    inject(&mut scene, "engine-a1", fault).await;
     running.await.unwrap();
     scene.process("engine-a1").thaw();
     assert!(records(&scene, "a1").await.iter().any(is_lost));
-    all_whole(&scene.caller(&["a1"])).await;
+    assert_all_whole(&scene.caller(&["a1"])).await;
 }
 
-#[test_case(Blow::Kill, "a2"; "killed, the caller goes on in the same zone")]
-#[test_case(Blow::Kill, "b1"; "killed, the caller goes on in another zone")]
-#[test_case(Blow::FreezeAndThaw, "a2"; "frozen, the caller goes on in the same zone")]
-#[test_case(Blow::FreezeAndThaw, "b1"; "frozen, the caller goes on in another zone")]
+#[test_case(ProcessFault::Kill, "a2"; "killed, the caller goes on in the same zone")]
+#[test_case(ProcessFault::Kill, "b1"; "killed, the caller goes on in another zone")]
+#[test_case(ProcessFault::FreezeAndThaw, "a2"; "frozen, the caller goes on in the same zone")]
+#[test_case(ProcessFault::FreezeAndThaw, "b1"; "frozen, the caller goes on in another zone")]
 #[tokio::test]
-async fn an_instance_is_struck_in_the_middle(blow: Blow, next: &str) {
+async fn an_instance_is_struck_in_the_middle(fault: ProcessFault, next: &str) {
     let mut scene = Scene::builder(2)
         .instances_per_zone(2)
         .start()
@@ -134,16 +134,17 @@
     let caller = scene
         .caller(&["a1", next])
         .with_stall_timeout(Duration::from_millis(700));
-    let running = tokio::spawn(async move { all_whole(&caller).await });
-    first_tokens(&scene, "a1", STREAMS).await;
-    strike(&mut scene, "a1", blow).await;
+    let running = tokio::spawn(async move { assert_all_whole(&caller).await });
+    wait_for_first_tokens(&scene, "a1", STREAMS).await;
+    inject(&mut scene, "a1", fault).await;
     running.await.unwrap();
     let came_back = |r: &TimelineRecord| matches!(r.event, TimelineEvent::Reconnected { .. });
     assert!(records(&scene, next).await.iter().any(came_back));
     scene.process("a1").thaw();
 }
 
-/// A generation waited for its start on a connection that was kept from before a silence.
+/// Guards against a generation that waits for its start on a pooled connection that has
+/// stalled meanwhile.
 #[tokio::test]
 async fn a_stream_after_a_silence_reaches_its_engine_at_once() {
     let builder = Scene::builder(1).engines_per_zone(1).with_links();
@@ -163,22 +164,22 @@
     let builder = Scene::builder(1).engines_per_zone(2).with_links();
     let scene = builder.start().await.unwrap();
     let caller = scene.caller(&["a1"]);
-    let running = tokio::spawn(async move { all_whole(&caller).await });
-    first_tokens(&scene, "a1", STREAMS).await;
+    let running = tokio::spawn(async move { assert_all_whole(&caller).await });
+    wait_for_first_tokens(&scene, "a1", STREAMS).await;
     scene.set_link("engine-a1", state);
     running.await.unwrap();
     assert!(records(&scene, "a1").await.iter().any(is_lost));
     scene.set_link("engine-a1", LinkState::Up);
-    all_whole(&scene.caller(&["a1"])).await;
+    assert_all_whole(&scene.caller(&["a1"])).await;
 }
 
-/// The second engine fails under the streams that the first has lost.
+/// The second engine fails while it runs streams that failed over from the first.
 #[tokio::test]
 async fn the_same_fault_strikes_twice() {
     let mut scene = Scene::builder(1).engines_per_zone(3).start().await.unwrap();
     let caller = scene.caller(&["a1"]);
-    let running = tokio::spawn(async move { all_whole(&caller).await });
-    first_tokens(&scene, "a1", STREAMS).await;
+    let running = tokio::spawn(async move { assert_all_whole(&caller).await });
+    wait_for_first_tokens(&scene, "a1", STREAMS).await;
     scene.process("engine-a1").kill().await;
     scene.process("engine-a2").kill().await;
     running.await.unwrap();
@@ -188,8 +189,8 @@
 async fn instance_and_engine_are_killed_at_once() {
     let mut scene = Scene::builder(2).start().await.unwrap();
     let caller = scene.caller(&["a1", "b1"]);
-    let running = tokio::spawn(async move { all_whole(&caller).await });
-    first_tokens(&scene, "a1", STREAMS).await;
+    let running = tokio::spawn(async move { assert_all_whole(&caller).await });
+    wait_for_first_tokens(&scene, "a1", STREAMS).await;
     scene.process("engine-a1").kill().await;
     scene.process("a1").kill().await;
     running.await.unwrap();
@@ -201,20 +202,20 @@
     let mut scene = Scene::builder(1).settings(settings).start().await.unwrap();
     let caller = scene.caller(&["a1"]);
     let running = tokio::spawn(async move { stream(&caller, &prompt(0)).await });
-    first_tokens(&scene, "a1", 1).await;
+    wait_for_first_tokens(&scene, "a1", 1).await;
     scene.process("engine-a1").kill().await;
     scene.process("a1").kill().await;
     let error = running.await.unwrap().unwrap_err();
     assert_eq!(error.exit_code(), 4, "{error}");
 }
 
-/// A refusal of a stream that had begun does not say that nothing ran.
+/// The refusal of a stream that had started must not report `not_run`.
 #[tokio::test]
 async fn a_caller_that_comes_back_in_vain_is_not_told_not_run() {
     let mut scene = Scene::builder(1).start().await.unwrap();
     let body = "{\"model\": \"quote-narrator\", \"stream\": true, \"prompt\": \"p [tokens=3]\"}";
-    let question = TestRequest::post("/v1/completions", body);
-    let reply = scene.ask("a1", &question).await.unwrap();
+    let request = TestRequest::post("/v1/completions", body);
+    let reply = scene.ask("a1", &request).await.unwrap();
     let text = String::from_utf8_lossy(&reply.body).into_owned();
     let cursor = text
         .lines()
@@ -222,7 +223,7 @@
         .unwrap()
         .to_owned();
     scene.process("engine-a1").kill().await;
-    let back = question.header("last-event-id", &cursor);
+    let back = request.header("last-event-id", &cursor);
     let reply = scene.ask("a1", &back).await.unwrap();
     assert_eq!(support::error_of(&reply).error.code, "stream_lost");
     assert_eq!(support::header(&reply, "iristhread-outcome"), "unknown");
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of this crate share.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers shared by the tests of this crate.
+#![allow(dead_code, reason = "each test file uses only some helpers")]
 
 use iristhread_api::CompletionRequest;
 use iristhread_api::ErrorBody;
@@ -15,7 +15,7 @@
 use iristhread_testbed::Scene;
 use iristhread_testbed::eventually;
 
-/// Longer than any answer of a test.
+/// Upper bound for the expected answer; longer than any answer of a test.
 pub const MAX_TOKENS: u32 = 8_000;
 
 pub fn completion(prompt: &str, received: Vec<String>) -> CompletionRequest {
@@ -33,7 +33,7 @@
     caller.stream("/v1/completions", body, |_| {}).await
 }
 
-/// The stream is exactly what one generation of this prompt gives.
+/// Asserts that the stream is exactly the output of one generation of this prompt.
 pub fn assert_whole(outcome: &CompletionOutcome, prompt: &str) {
     assert_eq!(outcome.tokens, expected_answer(prompt, MAX_TOKENS));
     assert_eq!(outcome.finish_reason, "stop");
@@ -54,8 +54,8 @@
     }
 }
 
-/// Waits until some stream has delivered its first token at an instance.
-pub async fn until_begun(scene: &Scene, instance: &str) {
+/// Waits until a stream has delivered its first token at an instance.
+pub async fn wait_for_first_token(scene: &Scene, instance: &str) {
     let begun = eventually("a stream has begun", async || {
         let operator = scene.operator(instance);
         let timeline = operator.timeline(None, HybridTime::default()).await;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Engines that a request was placed on, in order.
+/// Returns the engines on which a request was placed, in order.
 pub async fn engines_of(scene: &Scene, instance: &str, request: &str) -> Vec<String> {
     let operator = scene.operator(instance);
     let timeline = operator
--- a/crates/testbed/tests/tool.rs
+++ b/crates/testbed/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The command-line tool as a process, against a running scene.
+//! Runs the command-line tool as a process against a running scene.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use iristhread_testbed::CALLER_KEY;
@@ -33,8 +33,8 @@
     }
 }
 
-/// One scene for all commands: each row is a command, its exit code, and what
-/// its output or error must hold.
+/// Uses one scene for all commands. Each row is a command, its exit code, and a text that its
+/// standard output or standard error must contain.
 #[tokio::test]
 async fn every_command_does_its_work() {
     let scene = Scene::builder(1).start().await.unwrap();
@@ -81,12 +81,12 @@
 }
 
 #[tokio::test]
-async fn a_stream_too_many_is_refused_by_name() {
+async fn a_stream_above_the_limit_is_refused() {
     let settings = "[limits]\nmax_streams = 1";
     let scene = Scene::builder(1).settings(settings).start().await.unwrap();
     let body = "{\"model\": \"quote-narrator\", \"prompt\": \"p [tokens=200]\", \"stream\": true}";
-    let question = TestRequest::post("/v1/completions", body);
-    let (one, other) = tokio::join!(scene.ask("a1", &question), scene.ask("a1", &question));
+    let request = TestRequest::post("/v1/completions", body);
+    let (one, other) = tokio::join!(scene.ask("a1", &request), scene.ask("a1", &request));
     let mut statuses = [one.unwrap(), other.unwrap()].map(|reply| reply.status.as_u16());
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 503]);
