--- a/crates/daemon/src/completion/caller_sink.rs
+++ b/crates/daemon/src/completion/caller_sink.rs
@@ -1,4 +1,4 @@
-//! Where the tokens of a generation go: an event stream or one whole answer.
+//! Delivers the tokens of a generation to its caller, as an event stream or as a single answer.
 
 use std::time::Duration;
 
@@ -15,14 +15,15 @@
 
 use crate::completion::api_error::ApiError;
 
-/// Stands for the text of a token while the frame around it is made.
+/// Placeholder for the text of a token; the serialized event is split there.
 const TEXT_MARK: &str = "\u{1}";
 
-/// The caller reads no more.
+/// The caller has disconnected, or has not read for longer than the write timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerGone;
 
-/// The form of answers of one generation, with the frame of an event prepared.
+/// Formats the answers of one generation. The JSON around the text of a token is serialized only
+/// once.
 #[derive(Clone, Debug)]
 pub struct AnswerFormat {
     id: String,
@@ -33,7 +34,7 @@
 }
 
 impl AnswerFormat {
-    /// The form for one generation.
+    /// Creates the format for one generation.
     pub fn new(id: &str, model: &str, is_chat: bool) -> Self {
         let mut format = AnswerFormat {
             id: id.to_owned(),
@@ -51,15 +52,15 @@
         format
     }
 
-    /// The event of one token.
+    /// Returns the event for one token.
     fn event(&self, text: &str, cursor: &str) -> Bytes {
         let text = serde_json::to_string(text).unwrap_or_default();
         let (before, after) = (&self.before_text, &self.after_text);
         Bytes::from(format!("id: {cursor}\ndata: {before}{text}{after}\n\n"))
     }
 
-    /// The last events of a whole stream.
-    fn closing(&self, reason: EndReason) -> Bytes {
+    /// Returns the last events of a complete stream.
+    fn final_events(&self, reason: EndReason) -> Bytes {
         let part = self.part("", Some(reason));
         let part = serde_json::to_string(&part).unwrap_or_default();
         Bytes::from(format!("data: {part}\n\ndata: {DONE_MARK}\n\n"))
@@ -83,7 +84,7 @@
         self.completion(object, choice)
     }
 
-    fn whole(&self, text: String, tokens: u32, reason: EndReason) -> Completion {
+    fn full(&self, text: String, tokens: u32, reason: EndReason) -> Completion {
         let object = if self.is_chat {
             "chat.completion"
         } else {
@@ -123,27 +124,27 @@
     }
 }
 
-/// One caller's end of a generation.
+/// The caller's side of a generation.
 #[derive(Debug)]
 pub enum CallerSink {
     /// Server-sent events.
     Events {
-        /// Frames towards the connection.
+        /// Frames to write to the connection.
         frames: mpsc::Sender<Bytes>,
-        /// Longest time in which the caller reads nothing.
+        /// Maximum time that a frame waits for the caller to read.
         write_timeout: Duration,
     },
-    /// One answer at the end; empty once it was given.
-    Whole(Option<oneshot::Sender<Result<Completion, ApiError>>>),
+    /// A single answer at the end; empty once it has been sent.
+    Full(Option<oneshot::Sender<Result<Completion, ApiError>>>),
 }
 
 impl CallerSink {
-    /// Delivers a token.
+    /// Delivers a token; a single answer takes its tokens at the end instead.
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] when the connection ended or nothing was read for too
-    /// long.
+    /// [`CallerGone`] if the connection was closed, or the caller read nothing within the write
+    /// timeout.
     pub async fn token(
         &mut self,
         format: &AnswerFormat,
@@ -152,15 +153,15 @@
     ) -> Result<(), CallerGone> {
         match self {
             CallerSink::Events { .. } => self.send(format.event(text, &cursor())).await,
-            CallerSink::Whole(_) => Ok(()),
+            CallerSink::Full(_) => Ok(()),
         }
     }
 
-    /// Ends a whole answer.
+    /// Ends a complete answer.
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] as above.
+    /// [`CallerGone`] as for [`CallerSink::token`].
     pub async fn end(
         &mut self,
         format: &AnswerFormat,
@@ -168,20 +169,20 @@
         reason: EndReason,
     ) -> Result<(), CallerGone> {
         match self {
-            CallerSink::Events { .. } => self.send(format.closing(reason)).await,
-            CallerSink::Whole(reply) => {
+            CallerSink::Events { .. } => self.send(format.final_events(reason)).await,
+            CallerSink::Full(reply) => {
                 let count = u32::try_from(tokens.len()).unwrap_or(u32::MAX);
-                let whole = format.whole(tokens.concat(), count, reason);
-                give(reply, Ok(whole))
+                let completion = format.full(tokens.concat(), count, reason);
+                send_reply(reply, Ok(completion))
             }
         }
     }
 
-    /// Ends with an explicit error; never with an end that looks whole.
+    /// Ends the answer with an explicit error, so that a truncated stream never looks complete.
     ///
     /// # Errors
     ///
-    /// [`CallerGone`] as above.
+    /// [`CallerGone`] as for [`CallerSink::token`].
     pub async fn error(&mut self, error: ApiError) -> Result<(), CallerGone> {
         match self {
             CallerSink::Events { .. } => {
@@ -192,16 +193,16 @@
                 let frame = format!("event: error\ndata: {body}\n\n");
                 self.send(Bytes::from(frame)).await
             }
-            CallerSink::Whole(reply) => give(reply, Err(error)),
+            CallerSink::Full(reply) => send_reply(reply, Err(error)),
         }
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller has disconnected.
     pub async fn closed(&mut self) {
         match self {
             CallerSink::Events { frames, .. } => frames.closed().await,
-            CallerSink::Whole(Some(reply)) => reply.closed().await,
-            CallerSink::Whole(None) => std::future::pending().await,
+            CallerSink::Full(Some(reply)) => reply.closed().await,
+            CallerSink::Full(None) => std::future::pending().await,
         }
     }
 
@@ -218,7 +219,7 @@
     }
 }
 
-fn give(
+fn send_reply(
     reply: &mut Option<oneshot::Sender<Result<Completion, ApiError>>>,
     answer: Result<Completion, ApiError>,
 ) -> Result<(), CallerGone> {
--- a/crates/daemon/src/completion/control_thread.rs
+++ b/crates/daemon/src/completion/control_thread.rs
@@ -1,4 +1,4 @@
-//! The one thread that owns the state of all decisions.
+//! The single thread that owns the state of all decisions.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,52 +20,52 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
+use crate::completion::config_view::ConfigView;
 use crate::completion::control_message::BackendSnapshot;
 use crate::completion::control_message::ControlMessage;
 use crate::completion::control_message::Decision;
 use crate::completion::control_message::InstanceSnapshot;
 use crate::completion::control_message::Snapshot;
 use crate::completion::control_message::Versions;
-use crate::completion::view::View;
 use crate::engines::suspicion_log::log_suspicion;
 use crate::process::clock::Clock;
 use crate::process::control_sender::ControlSender;
 
-/// Time between two ticks of the decisions.
+/// Time between two [`Event::Tick`]s.
 const TICK: Duration = Duration::from_millis(50);
 
-/// A peer to exchange versions with.
+/// A peer to exchange versions with, and its address.
 pub type ExchangeTarget = (InstanceId, SocketAddr);
 
-/// What the control thread publishes to the traffic threads.
+/// Channels on which the control thread publishes to the traffic threads.
 pub struct ControlOutputs {
     /// The configuration in force.
-    pub view: watch::Receiver<Arc<View>>,
+    pub view: watch::Receiver<Arc<ConfigView>>,
     /// Whether this instance reads the platform.
     pub reads_platform: watch::Receiver<bool>,
-    /// Peers to exchange versions with, as they come up.
+    /// Peers to exchange versions with, when an exchange is due.
     pub exchanges: mpsc::UnboundedReceiver<ExchangeTarget>,
 }
 
-/// Sends messages to the control thread; cheap to clone.
+/// Sends messages to the control thread. Cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     sender: ControlSender<ControlMessage>,
 }
 
 impl ControlHandle {
-    /// Starts the thread.
+    /// Starts the control thread.
     ///
     /// # Errors
     ///
-    /// When the system gives no thread or runtime.
+    /// If the runtime or the thread can't be created.
     pub fn start(
         settings: ControlSettings,
         clock: Clock,
         log: Logger,
     ) -> std::io::Result<(ControlHandle, ControlOutputs)> {
         let (sender, inbox) = ControlSender::new();
-        let (view, view_out) = watch::channel(Arc::new(View::default()));
+        let (view, view_out) = watch::channel(Arc::new(ConfigView::default()));
         let (reads, reads_out) = watch::channel(false);
         let (exchanges, exchanges_out) = mpsc::unbounded_channel();
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -75,7 +75,7 @@
             control: Control::new(settings),
             clock,
             log,
-            waiting: HashMap::new(),
+            pending_decisions: HashMap::new(),
             view,
             reads,
             exchanges,
@@ -91,12 +91,12 @@
         Ok((ControlHandle { sender }, outputs))
     }
 
-    /// Tells of an event.
+    /// Sends an event; does not wait for it to be handled.
     pub fn tell(&self, event: Event) {
         self.sender.tell(ControlMessage::Event(event));
     }
 
-    /// Adds to the time line.
+    /// Adds an event of a request to the timeline.
     pub fn note(&self, request: &str, event: TimelineEvent) {
         self.tell(Event::Note {
             request: Some(request.to_owned()),
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Asks for an answer; `None` when the process is stopping.
+    /// Sends a message and waits for its reply; returns `None` if the process is stopping.
     pub async fn ask<Answer>(
         &self,
         message: impl FnOnce(oneshot::Sender<Answer>) -> ControlMessage,
@@ -117,8 +117,8 @@
     control: Control,
     clock: Clock,
     log: Logger,
-    waiting: HashMap<RequestId, oneshot::Sender<Decision>>,
-    view: watch::Sender<Arc<View>>,
+    pending_decisions: HashMap<RequestId, oneshot::Sender<Decision>>,
+    view: watch::Sender<Arc<ConfigView>>,
     reads: watch::Sender<bool>,
     exchanges: mpsc::UnboundedSender<ExchangeTarget>,
 }
@@ -130,7 +130,7 @@
         loop {
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
                 _ = ticks.tick() => self.decide(Event::Tick),
@@ -138,18 +138,19 @@
         }
     }
 
-    fn take(&mut self, message: ControlMessage) {
+    fn handle_message(&mut self, message: ControlMessage) {
         let now = self.clock.now();
-        // A caller that no longer waits for its answer is no fault.
+        // A failed send of a reply is ignored: the receiver no longer waits for it.
         match message {
             ControlMessage::Event(event) => {
                 if let Event::Closed { request, .. } = &event {
-                    self.waiting.remove(request);
+                    self.pending_decisions.remove(request);
                 }
                 self.decide(event);
             }
             ControlMessage::Submit { submission, reply } => {
-                self.waiting.insert(submission.request.clone(), reply);
+                self.pending_decisions
+                    .insert(submission.request.clone(), reply);
                 self.decide(Event::Submit(submission));
             }
             ControlMessage::IssueTicket {
@@ -173,7 +174,7 @@
                     .open_call(now, request, &workspace, fingerprint);
                 let _ = reply.send(opened);
             }
-            ControlMessage::CallAgain {
+            ControlMessage::CheckQuarantine {
                 request,
                 fingerprint,
                 reply,
@@ -191,7 +192,7 @@
             ControlMessage::MayReach { backend, reply } => {
                 let _ = reply.send(self.control.may_reach(now, &backend));
             }
-            ControlMessage::RunnersWait { service, reply } => {
+            ControlMessage::TimeUntilRunner { service, reply } => {
                 let _ = reply.send(self.control.time_until_runner(now, &service));
             }
             ControlMessage::Runners { service, reply } => {
@@ -226,14 +227,14 @@
             .control
             .handle(self.clock.now(), self.clock.wall_ms(), event);
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
-        for news in self.control.suspicion_updates() {
-            log_suspicion(&self.log, self.clock.now(), &news);
+        for update in self.control.suspicion_updates() {
+            log_suspicion(&self.log, self.clock.now(), &update);
         }
     }
 
-    fn carry_out(&mut self, command: Command) {
+    fn execute(&mut self, command: Command) {
         match command {
             Command::Start { request, placement } => self.answer(&request, Ok(placement)),
             Command::Refuse { request, refusal } => {
@@ -242,22 +243,22 @@
             }
             Command::ConfigInForce { version } => self.publish(version),
             Command::ExchangeWith { instance, address } => {
-                // Fails only when the process is stopping.
+                // Fails only if the process is stopping.
                 let _ = self.exchanges.send((instance, address));
             }
             Command::ReadPlatform { reads } => {
-                info!(self.log, "reading the platform"; "reads" => reads);
+                info!(self.log, "platform reader role changed"; "reads" => reads);
                 self.reads.send_replace(reads);
             }
         }
     }
 
     fn answer(&mut self, request: &RequestId, decision: Decision) {
-        let Some(reply) = self.waiting.remove(request) else {
+        let Some(reply) = self.pending_decisions.remove(request) else {
             return;
         };
         if reply.send(decision).is_err() {
-            // The caller left while it waited: give the place back.
+            // The caller disconnected while it waited: release the placement.
             self.decide(Event::AttemptLost {
                 request: request.clone(),
                 engine_failed: false,
@@ -268,7 +269,7 @@
     fn publish(&self, version: u64) {
         info!(self.log, "configuration in force"; "version" => version);
         if let Some(offer) = self.control.config().in_force() {
-            let view = View::new(version, offer.document.clone());
+            let view = ConfigView::new(version, offer.document.clone());
             self.view.send_replace(Arc::new(view));
         }
     }
@@ -279,7 +280,8 @@
                 warn!(self.log, "backend server failed"; "backend_server" => backend);
             }
             Event::ConfigUnreadable { version, reason } => {
-                warn!(self.log, "configuration unreadable"; "version" => version, "reason" => reason);
+                warn!(self.log, "configuration can't be parsed";
+                    "version" => version, "reason" => reason);
             }
             _ => {}
         }
--- a/crates/daemon/src/completion/generation.rs
+++ b/crates/daemon/src/completion/generation.rs
@@ -1,5 +1,5 @@
-//! Relays one generation: the driver of a [`Session`] over engines that may
-//! die, stall, reset or answer crossed.
+//! Relays one generation to its caller: drives a [`Session`] over engines that may crash, stall,
+//! reset connections or send the answer of another request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,28 +23,28 @@
 use crate::completion::app::App;
 use crate::completion::caller_sink::AnswerFormat;
 use crate::completion::caller_sink::CallerSink;
-use crate::completion::completion_order::CompletionOrder;
+use crate::completion::validated_completion::ValidatedCompletion;
 use crate::engines::engine_port::EngineStream;
 
 mod attempts;
 
-/// Tokens between two progress events to the decisions.
+/// Number of tokens between two progress events to the control thread.
 const PROGRESS_EVERY: u32 = 32;
 
-/// What a look at the engine's stream led to.
+/// Result of handling the next event of a stream.
 enum Step {
     Continue,
-    Whole(EndReason),
+    Complete(EndReason),
     Lost(&'static str),
     Stalled,
     Diverged,
     CallerGone,
 }
 
-/// One generation under way.
+/// A running generation.
 pub struct Generation {
     app: Arc<App>,
-    order: CompletionOrder,
+    completion: ValidatedCompletion,
     owner: String,
     reader: String,
     session: Session,
@@ -52,73 +52,73 @@
     stream: EngineStream,
     placement: Placement,
     failed_engines: Vec<BackendId>,
-    idle_attaches: u32,
-    /// Whether the caller has its answer's headers: from then on the deadline of
-    /// the start no longer counts.
+    idle_reattaches: u32,
+    /// Whether the caller has received the headers of the answer; from then on the deadline for
+    /// the start no longer applies.
     is_relaying: bool,
     is_closed: bool,
     last_progress: iristhread_core::Now,
-    /// When this attempt's first token came.
-    attempt_begun_at: Option<iristhread_core::Now>,
+    /// When the first new token of this attempt arrived, if any has.
+    first_token_at: Option<iristhread_core::Now>,
     longest_gap: Duration,
 }
 
 impl Generation {
-    /// Starts or resumes a generation; returns once an engine has taken it.
+    /// Starts or resumes a generation; returns once an engine has accepted it.
     ///
     /// # Errors
     ///
-    /// An [`ApiError`]; the request is then over and nothing is left running.
-    pub async fn begin(app: Arc<App>, order: CompletionOrder) -> Result<Self, ApiError> {
+    /// An [`ApiError`] for the caller; the request is then closed and nothing is left running.
+    pub async fn begin(app: Arc<App>, completion: ValidatedCompletion) -> Result<Self, ApiError> {
         let now = app.clock.now();
-        let session = match &order.cursor {
-            None => Session::new(order.request.clone(), now),
-            Some(cursor) => resumed_session(&app, &order, cursor)?,
+        let session = match &completion.cursor {
+            None => Session::new(completion.request.clone(), now),
+            Some(cursor) => resumed_session(&app, &completion, cursor)?,
         };
-        let nowhere = Placement {
+        let unplaced = Placement {
             engine: BackendId::new(),
             address: app.settings.caller_address,
             attempt: session.attempt(),
         };
         let mut generation = Generation {
-            owner: order.owner(),
+            owner: completion.owner(),
             reader: uuid::Uuid::new_v4().simple().to_string(),
-            format: AnswerFormat::new(session.generation(), &order.model, order.is_chat),
+            format: AnswerFormat::new(session.generation(), &completion.model, completion.is_chat),
             stream: futures::stream::empty().boxed(),
-            placement: nowhere,
+            placement: unplaced,
             failed_engines: Vec::new(),
-            idle_attaches: 0,
+            idle_reattaches: 0,
             is_relaying: false,
             is_closed: false,
             last_progress: now,
-            attempt_begun_at: None,
+            first_token_at: None,
             longest_gap: Duration::ZERO,
             app,
-            order,
+            completion,
             session,
         };
         match generation.start().await {
             Ok(()) => Ok(generation),
             Err(error) => {
-                let error = generation.as_told(error);
+                let error = generation.adjust_outcome(error);
                 generation.close(error.detail.outcome, &error.detail.code);
                 Err(error)
             }
         }
     }
 
-    /// Relays to the caller until the end.
+    /// Relays tokens to the caller until the generation ends.
     pub async fn run(mut self, mut sink: CallerSink) {
         self.is_relaying = true;
         loop {
             let step = self.step(&mut sink).await;
             let next = match step {
                 Step::Continue => Ok(()),
-                Step::Whole(reason) => return self.end(sink, reason).await,
+                Step::Complete(reason) => return self.end(sink, reason).await,
                 Step::CallerGone => return self.caller_gone().await,
                 Step::Diverged => Err(diverged()),
-                Step::Lost(cause) => self.reattach_or_move(cause).await,
-                Step::Stalled => self.move_on("stalled", true).await,
+                Step::Lost(cause) => self.reattach_or_fail_over(cause).await,
+                Step::Stalled => self.fail_over("stalled", true).await,
             };
             if let Err(error) = next {
                 return self.fail(sink, error).await;
@@ -135,13 +135,13 @@
             () = sleep_until(stalled_at) => return Step::Stalled,
         };
         match event {
-            Some(Ok(event)) => self.take(event, sink).await,
+            Some(Ok(event)) => self.handle_event(event, sink).await,
             Some(Err(_)) => Step::Lost("connection broke"),
             None => Step::Lost("connection closed before the end mark"),
         }
     }
 
-    async fn take(&mut self, event: EngineEvent, sink: &mut CallerSink) -> Step {
+    async fn handle_event(&mut self, event: EngineEvent, sink: &mut CallerSink) -> Step {
         match event {
             EngineEvent::Token {
                 generation,
@@ -174,7 +174,7 @@
                 total,
                 reason,
             } => match self.session.end(&generation, attempt, total) {
-                EndVerdict::Complete => Step::Whole(reason),
+                EndVerdict::Complete => Step::Complete(reason),
                 EndVerdict::Foreign => Step::Continue,
                 EndVerdict::Gap => Step::Lost("end mark before the last token"),
             },
@@ -183,8 +183,8 @@
 
     async fn deliver(&mut self, text: &str, sink: &mut CallerSink) -> Step {
         self.measure_gap();
-        self.attempt_begun_at.get_or_insert(self.last_progress);
-        self.idle_attaches = 0;
+        self.first_token_at.get_or_insert(self.last_progress);
+        self.idle_reattaches = 0;
         let known = self.session.known();
         if known == 1 {
             let attempt = self.placement.attempt;
@@ -192,7 +192,7 @@
         }
         if known == 1 || known.is_multiple_of(PROGRESS_EVERY) {
             self.app.control.tell(Event::Progress {
-                request: self.order.request.clone(),
+                request: self.completion.request.clone(),
                 generated: known,
             });
         }
@@ -218,7 +218,7 @@
 
     async fn end(mut self, mut sink: CallerSink, reason: EndReason) {
         self.app.control.tell(Event::AttemptFinished {
-            request: self.order.request.clone(),
+            request: self.completion.request.clone(),
             generated: self.session.known(),
         });
         self.app.metrics.longest_gap(self.longest_gap);
@@ -233,29 +233,31 @@
 
     async fn fail(mut self, mut sink: CallerSink, error: ApiError) {
         self.cancel();
-        let error = self.as_told(error);
+        let error = self.adjust_outcome(error);
         let (outcome, code) = (error.detail.outcome, error.detail.code.clone());
-        // The caller may have left as well; there is nobody else to tell.
+        // The caller may have disconnected as well; nobody else needs the error.
         let _ = sink.error(error).await;
         self.close(outcome, &code);
     }
 
-    /// What ran for a caller that holds tokens is not said not to have run.
-    fn as_told(&self, mut error: ApiError) -> ApiError {
+    /// Sets the outcome to unknown if tokens were delivered: such a request has run, so the error
+    /// must not claim that it has not.
+    fn adjust_outcome(&self, mut error: ApiError) -> ApiError {
         if self.session.delivered() > 0 {
             error.detail.outcome = Outcome::Unknown;
         }
         error
     }
 
-    /// Leaves the caller a grace to come back elsewhere, then frees the engine.
+    /// Handles a caller that disconnected: leaves it `caller_grace` to reconnect, perhaps at
+    /// another instance, then cancels the generation at the engine.
     async fn caller_gone(mut self) {
         let delivered = self.session.delivered();
         self.note(TimelineEvent::CallerLost { delivered });
         tokio::time::sleep(self.app.settings.limits.caller_grace).await;
         self.cancel();
         self.app.control.tell(Event::AttemptLost {
-            request: self.order.request.clone(),
+            request: self.completion.request.clone(),
             engine_failed: false,
         });
         self.close(Outcome::Unknown, "caller left");
@@ -268,19 +270,20 @@
             delivered: self.session.delivered(),
             reason: reason.to_owned(),
         });
-        self.app.metrics.ended(&self.order.workspace, outcome);
+        self.app.metrics.ended(&self.completion.workspace, outcome);
         self.app.control.tell(Event::Closed {
-            request: self.order.request.clone(),
-            workspace: self.order.workspace.clone(),
+            request: self.completion.request.clone(),
+            workspace: self.completion.workspace.clone(),
         });
     }
 
     fn note(&self, event: TimelineEvent) {
-        self.app.control.note(&self.order.request, event);
+        self.app.control.note(&self.completion.request, event);
     }
 }
 
-/// The server drops a request whose caller leaves before the answer begins.
+/// The HTTP server drops the request of a caller that disconnects before the answer begins; this
+/// cancels and closes its generation.
 impl Drop for Generation {
     fn drop(&mut self) {
         if !self.is_closed {
@@ -292,10 +295,10 @@
 
 fn resumed_session(
     app: &App,
-    order: &CompletionOrder,
+    completion: &ValidatedCompletion,
     cursor: &Cursor,
 ) -> Result<Session, ApiError> {
-    let session = Session::resumed(cursor, order.received.clone(), app.clock.now());
+    let session = Session::resumed(cursor, completion.received.clone(), app.clock.now());
     session.ok_or_else(|| {
         let message = "the tokens in `received` are not those that were delivered";
         ApiError::invalid("received_mismatch", Some("received"), message)
--- a/crates/daemon/src/completion/service_api.rs
+++ b/crates/daemon/src/completion/service_api.rs
@@ -22,9 +22,9 @@
 use crate::completion::api_error::ApiError;
 use crate::completion::app::App;
 use crate::completion::call_answer::CallAnswer;
-use crate::completion::caller_api::deadline;
+use crate::completion::caller_api::acquire_permit;
 use crate::completion::caller_api::new_request_id;
-use crate::completion::caller_api::take_place;
+use crate::completion::caller_api::request_timeout;
 use crate::completion::control_message::ControlMessage;
 use crate::completion::request_guard;
 use crate::completion::service_call;
@@ -32,11 +32,11 @@
 
 const PREFIX: &str = "/v1/services/";
 
-/// Answers one call.
+/// Handles one call.
 ///
 /// # Errors
 ///
-/// An [`ApiError`] with its outcome.
+/// An [`ApiError`] if the call is refused before it is sent to a runner.
 pub async fn call(app: Arc<App>, mut request: Request) -> Result<Response, ApiError> {
     let workspace = request_guard::workspace(&app, &request)?;
     let (service, path) = target(&request)?;
@@ -45,12 +45,12 @@
         let message = format!("the service {service:?} is not offered");
         ApiError::not_found("service_not_found", None, message)
     })?;
-    let place = take_place(&app)?;
+    let permit = acquire_permit(&app)?;
     let ticket_text: Option<String> = request.header(TICKET_HEADER);
     if !declared.repeatable && ticket_text.is_none() {
         return issue_ticket(&app, &workspace, &service).await;
     }
-    let timeout = deadline(&request, app.settings.limits.call_timeout);
+    let timeout = request_timeout(&request, app.settings.limits.call_timeout);
     let body = request_guard::body(&app, &mut request).await?;
     let call = ForwardedCall {
         request: new_request_id(),
@@ -67,7 +67,7 @@
     let id = call.request.clone();
     let answer = run(&app, call, declared.repeatable).await;
     opened.end(&answer);
-    drop(place);
+    drop(permit);
     Ok(respond(&id, answer))
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// A call that counts against the limits of its workspace until this is
-/// dropped, also when its caller leaves in the middle.
+/// A call that counts against the limits of its workspace. Dropping this closes the call, also
+/// when its caller disconnects early.
 struct OpenCall<'a> {
     app: &'a App,
     request: RequestId,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Answers 428 with a fresh ticket: the caller sends the same call with it, and
-/// again with the same ticket whenever it has no answer.
+/// Answers 428 with a new ticket. The caller sends the same call with the ticket, and repeats it
+/// with the same ticket as long as it has received no answer.
 async fn issue_ticket(
     app: &App,
     workspace: &WorkspaceId,
@@ -179,8 +179,8 @@
 fn respond(request: &str, answer: CallAnswer) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = match (&answer.code, &answer.message) {
-        (Some(code), Some(message)) => own_error(status, code, message, &answer),
-        _ => passed_on(status, &answer),
+        (Some(code), Some(message)) => error_response(status, code, message, &answer),
+        _ => relay_answer(status, &answer),
     };
     let headers = response.headers_mut();
     if let Ok(id) = HeaderValue::from_str(request) {
@@ -191,7 +191,7 @@
     response
 }
 
-fn own_error(status: StatusCode, code: &str, message: &str, answer: &CallAnswer) -> Response {
+fn error_response(status: StatusCode, code: &str, message: &str, answer: &CallAnswer) -> Response {
     let mut error = match answer.outcome {
         Outcome::NotRun | Outcome::Ran => ApiError::limit(status, code, message),
         Outcome::Unknown => ApiError::unknown(status, code, message),
@@ -200,7 +200,7 @@
     error.into_response()
 }
 
-fn passed_on(status: StatusCode, answer: &CallAnswer) -> Response {
+fn relay_answer(status: StatusCode, answer: &CallAnswer) -> Response {
     let mut response = Response::new(Body::Full(answer.body.clone().into()));
     *response.status_mut() = status;
     let content_type = answer.content_type.as_deref();
--- a/crates/daemon/src/completion/service_call.rs
+++ b/crates/daemon/src/completion/service_call.rs
@@ -1,5 +1,5 @@
-//! Calls to plain services: repeated only where the configuration allows it,
-//! otherwise run at most once by the instance that the ticket names.
+//! Calls to plain services. A call is repeated only if the configuration allows it; otherwise the
+//! instance that its ticket names runs it at most once.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use iristhread_api::IDEMPOTENCY_KEY_HEADER;
 use iristhread_api::OUTCOME_HEADER;
 use iristhread_api::Reply;
-use iristhread_api::notice_of;
+use iristhread_api::parse_server_notice;
 use iristhread_core::BackendServer;
 use iristhread_core::CallEnd;
 use iristhread_core::CallRun;
@@ -32,25 +32,24 @@
 use crate::completion::api_error::whole_seconds;
 use crate::completion::app::App;
 use crate::completion::call_answer::CallAnswer;
-use crate::completion::call_book::AnswerSlot;
+use crate::completion::call_store::AnswerSlot;
 use crate::completion::control_message::ControlMessage;
-use crate::engines::engine_watch::has_ended;
+use crate::engines::engine_watch::has_stopped_listening;
 use crate::peers::peer_message::ForwardedCall;
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
-use crate::relaying::patience;
+use crate::relaying::answer_timeout;
 
-/// Runs a call that may be repeated: tries again elsewhere after a failure.
+/// Runs a call that may be repeated; retries at another runner after a failure.
 pub async fn run_repeatable(app: &App, call: &ForwardedCall) -> CallAnswer {
     let deadline = deadline_of(app, call);
     run(app, call, true, &call.request, deadline).await
 }
 
-/// Runs, forwards or repeats the answer of a call whose ticket was verified.
+/// Runs a call whose ticket was verified, forwards it, or repeats its earlier answer.
 ///
-/// The whole is a task of its own: a caller or peer that leaves between the
-/// spending of the ticket and the call must not leave the ticket spent for
-/// nothing.
+/// This runs in a task of its own: if the caller or peer disconnects after the ticket was spent and
+/// before the call was sent, the call must still run, or the ticket would be spent for nothing.
 pub async fn run_ticketed(app: &Arc<App>, call: ForwardedCall, ticket: Ticket) -> CallAnswer {
     let task = tokio::spawn(spend_and_run(app.clone(), call, ticket));
     task.await.unwrap_or_else(|_| {
@@ -64,7 +63,7 @@
         ticket: ticket.clone(),
         reply,
     };
-    // Before spending, so that a second delivery finds the slot.
+    // Created before the ticket is spent, so that a second delivery finds the slot.
     let is_own = ticket.instance == app.identity.instance;
     let slot = is_own.then(|| app.calls.slot(&ticket.number, keep_until));
     let Some(verdict) = app.control.ask(ask).await else {
@@ -77,7 +76,7 @@
             slot.send_replace(Some(answer.clone()));
             answer
         }
-        (SpendVerdict::SameRun, Some(slot)) => answer_of(&slot, &app, keep_until).await,
+        (SpendVerdict::SameRun, Some(slot)) => await_answer(&slot, &app, keep_until).await,
         (SpendVerdict::Forward { instance, .. }, _) => forward(&app, call, instance).await,
         (SpendVerdict::Expired, _) => CallAnswer::not_run(
             410,
@@ -96,19 +95,19 @@
     }
 }
 
-/// Runs a call that a peer forwarded; checks the ticket again.
+/// Runs a call that a peer forwarded; verifies the ticket again.
 pub async fn run_forwarded(app: &Arc<App>, call: ForwardedCall) -> CallAnswer {
     let keyring = &app.settings.keyring;
     match Ticket::decode(&call.ticket, &call.workspace, &call.service, keyring) {
         Ok(ticket) if ticket.instance == app.identity.instance => {
             run_ticketed(app, call, ticket).await
         }
-        // Never forwarded twice.
+        // A call is never forwarded twice.
         _ => CallAnswer::unknown("wrong_instance", "the ticket is not of this instance"),
     }
 }
 
-/// Drives the decisions of a [`CallRun`].
+/// Sends the call to the runners that a [`CallRun`] chooses, and returns the final answer.
 async fn run(
     app: &App,
     call: &ForwardedCall,
@@ -126,18 +125,18 @@
                 let Some(runner) = runners.iter().find(|runner| runner.name == name) else {
                     continue;
                 };
-                if !runner_takes(app, call, runner).await {
+                if !may_call(app, call, runner).await {
                     decisions.sent(SendResult::NotConnected);
                     continue;
                 }
-                if !may_be_sent(app, call).await {
+                if !passes_quarantine(app, call).await {
                     let CallStep::End { outcome, end } = decisions.give_up() else {
                         continue;
                     };
-                    return answer_at_end(outcome, end, last);
+                    return final_answer(outcome, end, last);
                 }
                 let (result, reply) = send(app, call, runner, key, deadline).await;
-                note_end(app, call, runner, result).await;
+                report_result(app, call, runner, result).await;
                 decisions.sent(result);
                 last = reply.or(last);
             }
@@ -145,21 +144,22 @@
                 end: CallEnd::NoRunner,
                 outcome: Outcome::NotRun,
             } => return no_runner(app, call).await,
-            CallStep::End { outcome, end } => return answer_at_end(outcome, end, last),
+            CallStep::End { outcome, end } => return final_answer(outcome, end, last),
         }
     }
 }
 
-/// Nobody could run a call: tells when to come back, where that is known.
+/// Returns the answer if no runner accepted the call, with the time for a retry if it is known.
 async fn no_runner(app: &App, call: &ForwardedCall) -> CallAnswer {
     match time_until_runner(app, &call.service).await {
-        Some(left) => all_wait(left),
-        None => answer_at_end(Outcome::NotRun, CallEnd::NoRunner, None),
+        Some(left) => all_backing_off(left),
+        None => final_answer(Outcome::NotRun, CallEnd::NoRunner, None),
     }
 }
 
-/// A runner may have said something since the runners were ranked.
-async fn runner_takes(app: &App, call: &ForwardedCall, runner: &BackendServer) -> bool {
+/// Checks whether the runner accepts a call now: a server notice may have arrived since the runners
+/// were ranked.
+async fn may_call(app: &App, call: &ForwardedCall, runner: &BackendServer) -> bool {
     let ask = |reply| ControlMessage::MayCall {
         backend: runner.name.clone(),
         request: call.request.clone(),
@@ -169,14 +169,14 @@
 }
 
 async fn time_until_runner(app: &App, service: &str) -> Option<Duration> {
-    let ask = |reply| ControlMessage::RunnersWait {
+    let ask = |reply| ControlMessage::TimeUntilRunner {
         service: service.to_owned(),
         reply,
     };
     app.control.ask(ask).await.flatten()
 }
 
-fn all_wait(left: Duration) -> CallAnswer {
+fn all_backing_off(left: Duration) -> CallAnswer {
     let message = "all runners of the service have asked for rest or take no more now";
     CallAnswer {
         retry_after_s: Some(whole_seconds(left)),
@@ -184,9 +184,9 @@
     }
 }
 
-/// Asked before each send, also those of forwarded calls.
-async fn may_be_sent(app: &App, call: &ForwardedCall) -> bool {
-    let ask = |reply| ControlMessage::CallAgain {
+/// Checks whether the call is free of quarantine; needed before each send, also of forwarded calls.
+async fn passes_quarantine(app: &App, call: &ForwardedCall) -> bool {
+    let ask = |reply| ControlMessage::CheckQuarantine {
         request: call.request.clone(),
         fingerprint: call.fingerprint(),
         reply,
@@ -194,14 +194,19 @@
     matches!(app.control.ask(ask).await, Some(Ok(())))
 }
 
-/// Tells the decisions whether the runner answered, or ended under the call.
-async fn note_end(app: &App, call: &ForwardedCall, runner: &BackendServer, result: SendResult) {
+/// Reports to the control thread whether the runner answered, or crashed during the call.
+async fn report_result(
+    app: &App,
+    call: &ForwardedCall,
+    runner: &BackendServer,
+    result: SendResult,
+) {
     let fingerprint = call.fingerprint();
     match result {
         SendResult::Answered | SendResult::Failed => {
             app.control.tell(Event::CallAnswered { fingerprint });
         }
-        SendResult::Lost if has_ended(runner.address, true).await => {
+        SendResult::Lost if has_stopped_listening(runner.address, true).await => {
             app.control.tell(Event::ServerCrashed {
                 backend: runner.name.clone(),
                 fingerprint,
@@ -212,9 +217,9 @@
     }
 }
 
-fn answer_at_end(outcome: Outcome, end: CallEnd, reply: Option<Reply>) -> CallAnswer {
+fn final_answer(outcome: Outcome, end: CallEnd, reply: Option<Reply>) -> CallAnswer {
     let mut answer = match (end, reply) {
-        (CallEnd::Answer, Some(reply)) => passed_on(&reply),
+        (CallEnd::Answer, Some(reply)) => relayed_answer(&reply),
         (CallEnd::Deadline, _) => {
             let message = "the deadline or the ticket expired before the call was sent";
             CallAnswer::not_run(504, "deadline", message)
@@ -244,10 +249,10 @@
     let sent_at = app.clock.now();
     let left = deadline.saturating_sub(sent_at);
     let due = tokio::time::Instant::now() + left;
-    let fetched = patience::until(due, app.services.fetch(request)).await;
+    let fetched = answer_timeout::until(due, app.services.fetch(request)).await;
     let backend = runner.name.clone();
     let (result, cause) = match &fetched {
-        Some(Ok(reply)) => (result_of(reply), None),
+        Some(Ok(reply)) => (classify_reply(reply), None),
         Some(Err(error @ HttpClientError::Connect { .. })) => {
             (SendResult::NotConnected, Some(error.to_string()))
         }
@@ -258,20 +263,20 @@
         ),
     };
     if let Some(cause) = cause {
-        info!(app.log, "runner of a service gave no answer";
+        info!(app.log, "service runner did not answer";
             "request" => &call.request, "backend_server" => &backend,
             "result" => result.as_str(), "cause" => cause);
     }
     let reply = fetched.and_then(Result::ok);
     let notice = reply
         .as_ref()
-        .map(|reply| notice_of(reply.status, &reply.headers));
-    let heard = ObservedNotice {
+        .map(|reply| parse_server_notice(reply.status, &reply.headers));
+    let observed = ObservedNotice {
         notice: notice.unwrap_or_default(),
         sent_at,
         reports_limits: reply.as_ref().is_some_and(|r| r.status.is_success()),
     };
-    app.noticed(&backend, heard);
+    app.observe_notice(&backend, observed);
     app.control.tell(match reply {
         Some(_) => Event::BackendAnswered { backend },
         None => Event::BackendFailed { backend },
@@ -296,11 +301,11 @@
     builder.body(Full::new(Bytes::from(call.body.clone()))).ok()
 }
 
-/// An answer is the runner's own, unless it says that it did not run the call,
-/// or failed with no word about that.
-fn result_of(reply: &Reply) -> SendResult {
-    let said = header_of(reply, OUTCOME_HEADER);
-    if said.as_deref() == Some(Outcome::NotRun.as_str()) {
+/// Classifies a reply: it is the runner's own answer unless it says that the call did not run, or
+/// is a server error that does not say so.
+fn classify_reply(reply: &Reply) -> SendResult {
+    let outcome = header_of(reply, OUTCOME_HEADER);
+    if outcome.as_deref() == Some(Outcome::NotRun.as_str()) {
         return SendResult::SaidNotRun;
     }
     if reply.status.is_server_error() {
@@ -309,7 +314,7 @@
     SendResult::Answered
 }
 
-fn passed_on(reply: &Reply) -> CallAnswer {
+fn relayed_answer(reply: &Reply) -> CallAnswer {
     let content_type = header_of(reply, header::CONTENT_TYPE.as_str());
     CallAnswer::ran(reply.status.as_u16(), content_type, reply.body.to_vec())
 }
@@ -319,7 +324,7 @@
     Some(value.to_owned())
 }
 
-async fn answer_of(slot: &AnswerSlot, app: &App, keep_until: Now) -> CallAnswer {
+async fn await_answer(slot: &AnswerSlot, app: &App, keep_until: Now) -> CallAnswer {
     let mut answers = slot.subscribe();
     let answered = answers.wait_for(Option::is_some);
     let until = app.clock.instant(keep_until);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! `iristhreadd`: the daemon of an entry instance.
+//! `iristhreadd`: the daemon that runs one instance.
 //!
-//! One control thread owns the state of all decisions (`iristhread-core`);
-//! traffic runs on other threads and talks to it by messages. Every outside
-//! system stands behind a trait: [`PlatformPort`], [`EnginePort`], [`PeerPort`].
+//! One control thread owns the state of all decisions (`iristhread-core`). Traffic runs on other
+//! threads, which send messages to the control thread. Each external system is accessed through a
+//! trait: [`PlatformPort`], [`EnginePort`], [`PeerPort`].
 
 mod completion;
 mod directory;
@@ -41,17 +41,17 @@
 pub use gateway::gateway_metrics::GatewayMetrics;
 pub use gateway::gateway_settings::GatewaySettings;
 pub use operators::resource_log::ResourceLog;
-pub use operators::resource_log::TooOld;
+pub use operators::resource_log::VersionTooOld;
 pub use peers::heartbeat::Datagram;
 pub use peers::heartbeat::Heartbeat;
 pub use peers::heartbeat::HeartbeatFault;
-pub use peers::heartbeat::ListNews;
+pub use peers::heartbeat::ListUpdate;
 pub use peers::heartbeat::SealedHeartbeat;
 pub use peers::heartbeat_relay::HeartbeatRelay;
 pub use peers::packed::Packed;
-pub use peers::peer_message::News;
 pub use peers::peer_message::PeerReply;
 pub use peers::peer_message::PeerRequest;
+pub use peers::peer_message::PeerUpdate;
 pub use peers::peer_message::PeerVersions;
 pub use peers::peer_message::SignedMessage;
 pub use peers::peer_port::JsonRpcPeers;
@@ -64,21 +64,21 @@
 pub use process::answered::Answered;
 pub use process::clock::Clock;
 pub use process::clock::ClockSource;
-pub use process::clock::SuspensionWatch;
+pub use process::clock::SuspensionDetector;
 pub use process::log_limit::LogLimit;
-pub use process::logging::LastLines;
+pub use process::logging::PendingLines;
 pub use process::logging::logger;
 pub use process::logging::logger_to;
 pub use process::settings_file::read_settings;
 pub use process::settings_reader::SettingsFault;
-pub use process::whole_lines::WholeLines;
-pub use relaying::dialect::AnswerHead;
-pub use relaying::dialect::CallerHead;
-pub use relaying::dialect::CopyName;
-pub use relaying::dialect::Dialect;
-pub use relaying::dialect::HeadFault;
-pub use relaying::dialect::LastEvent;
-pub use relaying::dialect::ResumePoint;
-pub use relaying::dialect::SendOrder;
+pub use process::whole_line_writer::WholeLineWriter;
 pub use relaying::event_splitter::EventSplitter;
 pub use relaying::event_splitter::RawEvent;
+pub use relaying::wire_protocol::AnswerHead;
+pub use relaying::wire_protocol::CallerHead;
+pub use relaying::wire_protocol::HeadFault;
+pub use relaying::wire_protocol::LastEvent;
+pub use relaying::wire_protocol::ResumePoint;
+pub use relaying::wire_protocol::SendParameters;
+pub use relaying::wire_protocol::SessionCopy;
+pub use relaying::wire_protocol::WireProtocol;
--- a/crates/daemon/src/operators/fleet.rs
+++ b/crates/daemon/src/operators/fleet.rs
@@ -1,4 +1,4 @@
-//! Asks all instances on behalf of an operator.
+//! Queries all instances on behalf of an operator.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
 
-/// Longest wait for one instance.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum wait for the answer of one instance.
+const INSTANCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Instances asked at once.
-const MAX_AT_ONCE: usize = 32;
+/// Maximum number of instances queried at once.
+const MAX_CONCURRENT_QUERIES: usize = 32;
 
-/// The time line over all instances that can be reached, in order.
+/// Returns the timeline of all reachable instances, ordered by time.
 pub async fn timeline(app: &App, after: HybridTime, request: Option<String>) -> FleetTimeline {
     let own = request.clone();
     let ask = |reply| ControlMessage::Timeline {
@@ -32,10 +32,12 @@
     };
     let mut records = app.control.ask(ask).await.unwrap_or_default();
     let mut unreachable = Vec::new();
-    let question = PeerRequest::Timeline { after, request };
-    for (instance, answer) in ask_all(app, question).await {
+    let query = PeerRequest::Timeline { after, request };
+    for (instance, answer) in query_all(app, query).await {
         match answer {
-            Some(PeerReply::Timeline { records: theirs }) => records.extend(theirs),
+            Some(PeerReply::Timeline {
+                records: peer_records,
+            }) => records.extend(peer_records),
             _ => unreachable.push(instance),
         }
     }
@@ -46,51 +48,54 @@
     }
 }
 
-/// What every listed instance has in force.
+/// Returns the configuration in force on each listed instance.
 pub async fn status(app: &App) -> BTreeMap<String, InstanceStatus> {
-    let mut lines = BTreeMap::new();
+    let mut statuses = BTreeMap::new();
     let ask = |reply| ControlMessage::Snapshot { reply };
     let Some(snapshot) = app.control.ask(ask).await else {
-        return lines;
+        return statuses;
     };
     let versions = versions_of(&app.identity, &snapshot.versions);
     let mut own = InstanceStatus::reached(versions.config_version, versions.config_age_ms);
     own.refused = snapshot.refused.map(|(version, faults)| {
-        let named = faults.iter().map(ToString::to_string).collect::<Vec<_>>();
-        format!("version {version}: {}", named.join("; "))
+        let fault_texts = faults.iter().map(ToString::to_string).collect::<Vec<_>>();
+        format!("version {version}: {}", fault_texts.join("; "))
     });
-    lines.insert(app.identity.instance.clone(), own);
-    for (instance, answer) in ask_all(app, PeerRequest::Exchange(versions)).await {
-        let line = match answer {
+    statuses.insert(app.identity.instance.clone(), own);
+    for (instance, answer) in query_all(app, PeerRequest::Exchange(versions)).await {
+        let status = match answer {
             Some(PeerReply::Exchange { versions, .. }) => {
                 InstanceStatus::reached(versions.config_version, versions.config_age_ms)
             }
             _ => InstanceStatus::default(),
         };
-        lines.insert(instance, line);
+        statuses.insert(instance, status);
     }
-    lines
+    statuses
 }
 
-async fn ask_all(app: &App, question: PeerRequest) -> Vec<(String, Option<PeerReply>)> {
+async fn query_all(app: &App, query: PeerRequest) -> Vec<(String, Option<PeerReply>)> {
     let ask = |reply| ControlMessage::InstanceList { reply };
     let entries = app.control.ask(ask).await.unwrap_or_default().into_iter();
     let others = entries.filter(|entry| entry.instance != app.identity.instance);
-    let asked = others.map(|entry| ask_one(app, entry, question.clone()));
-    stream::iter(asked)
-        .buffer_unordered(MAX_AT_ONCE)
+    let queries = others.map(|entry| query_instance(app, entry, query.clone()));
+    stream::iter(queries)
+        .buffer_unordered(MAX_CONCURRENT_QUERIES)
         .collect()
         .await
 }
 
-async fn ask_one(
+async fn query_instance(
     app: &App,
     entry: InstanceEntry,
-    question: PeerRequest,
+    query: PeerRequest,
 ) -> (String, Option<PeerReply>) {
     let instance = entry.instance.clone();
-    let answer = app
-        .peers
-        .ask(instance.clone(), entry.peer_address, question, TIMEOUT);
+    let answer = app.peers.ask(
+        instance.clone(),
+        entry.peer_address,
+        query,
+        INSTANCE_TIMEOUT,
+    );
     (instance, answer.await.ok())
 }
--- a/crates/daemon/src/operators/operator_api.rs
+++ b/crates/daemon/src/operators/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over HTTP: everything is read, nothing written.
+//! The HTTP API for operators; it is read-only.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -22,9 +22,9 @@
 
 use crate::completion::api_error::ApiError;
 use crate::completion::app::App;
-use crate::completion::caller_api::answered;
 use crate::completion::caller_api::json;
 use crate::completion::caller_api::no_such_path;
+use crate::completion::caller_api::respond_with;
 use crate::completion::request_guard;
 use crate::operators::fleet;
 use crate::operators::resource_builder;
@@ -44,7 +44,7 @@
     after_count: u32,
 }
 
-/// The routes.
+/// Returns the routes of the API for operators.
 pub fn routes(app: &Arc<App>) -> Router {
     let one = app.clone();
     let all = app.clone();
@@ -52,18 +52,20 @@
     let status_of = app.clone();
     Router::new()
         .get("/v1/resources/:kind", move |r: Request| {
-            answered(resources(all.clone(), r))
+            respond_with(resources(all.clone(), r))
         })
         .get("/v1/resources/:kind/:name", move |r: Request| {
-            answered(resources(one.clone(), r))
+            respond_with(resources(one.clone(), r))
         })
         .get("/v1/timeline", move |r: Request| {
-            answered(timeline(timeline_of.clone(), r))
+            respond_with(timeline(timeline_of.clone(), r))
         })
         .get("/v1/status", move |r: Request| {
-            answered(status(status_of.clone(), r))
+            respond_with(status(status_of.clone(), r))
+        })
+        .any("/*", |_: Request| {
+            respond_with(async { Err(no_such_path()) })
         })
-        .any("/*", |_: Request| answered(async { Err(no_such_path()) }))
 }
 
 async fn resources(app: Arc<App>, request: Request) -> Result<Response, ApiError> {
@@ -134,7 +136,7 @@
     Ok(response)
 }
 
-/// One watch: JSON lines, one per change.
+/// An open watch; sends one JSON line per change.
 struct Watcher {
     app: Arc<App>,
     kind: String,
@@ -146,7 +148,7 @@
 impl Watcher {
     async fn next(&mut self) -> Option<Bytes> {
         loop {
-            // A watch that fell behind the kept changes ends; it starts anew.
+            // A watch that has fallen behind the kept changes ends; its client lists again.
             let changes = self.app.resources.changes(&self.kind, self.seen).ok()?;
             let mut lines = String::new();
             for change in changes {
--- a/crates/daemon/src/peers/peer_answers.rs
+++ b/crates/daemon/src/peers/peer_answers.rs
@@ -1,4 +1,4 @@
-//! What an instance answers its peers.
+//! Answers of an instance to the requests of its peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,20 +15,20 @@
 use crate::completion::control_message::Versions;
 use crate::completion::service_call;
 use crate::peers::packed::Packed;
-use crate::peers::peer_message::News;
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
+use crate::peers::peer_message::PeerUpdate;
 use crate::peers::peer_message::PeerVersions;
 use crate::peers::peer_server::PeerAnswers;
 use crate::platform::platform_reader::offered;
 
-/// Answers out of the state of an instance.
+/// Answers requests from the state of an instance.
 pub struct InstanceAnswers {
     app: Arc<App>,
 }
 
 impl InstanceAnswers {
-    /// Answers for an instance.
+    /// Creates the answers for the instance of `app`.
     pub fn new(app: Arc<App>) -> Self {
         InstanceAnswers { app }
     }
@@ -36,8 +36,8 @@
     async fn answered(&self, from: InstanceId, request: PeerRequest) -> Option<PeerReply> {
         match request {
             PeerRequest::Exchange(versions) => self.exchange(from, versions).await,
-            PeerRequest::Offer(news) => {
-                tell_news(&self.app, &from, news);
+            PeerRequest::Offer(update) => {
+                apply_peer_update(&self.app, &from, update);
                 Some(PeerReply::Taken)
             }
             PeerRequest::RunCall(call) => {
@@ -53,7 +53,7 @@
                 let records = self.app.control.ask(ask).await;
                 records.map(|records| PeerReply::Timeline { records })
             }
-            // Only gateways know what is asked here.
+            // Only gateways have this state.
             PeerRequest::Gateway { .. } => None,
         }
     }
@@ -64,10 +64,10 @@
             .control
             .ask(|reply| ControlMessage::Versions { reply })
             .await?;
-        tell_versions(app, from, &theirs);
+        apply_peer_versions(app, from, &theirs);
         Some(PeerReply::Exchange {
             versions: versions_of(&app.identity, &own),
-            news: news_for(app, &own, &theirs).await,
+            news: update_for(app, &own, &theirs).await,
         })
     }
 }
@@ -78,25 +78,25 @@
     }
 }
 
-/// What this process has and a peer lacks.
-pub async fn news_for(app: &App, own: &Versions, theirs: &PeerVersions) -> News {
+/// Returns the state that this process has and a peer lacks.
+pub async fn update_for(app: &App, own: &Versions, theirs: &PeerVersions) -> PeerUpdate {
     let instances = match theirs.roster_version < own.roster_version {
         true => instances_of(app, own.roster_version).await,
         false => None,
     };
     let config = config_for(own, theirs.config_version);
-    News { config, instances }
+    PeerUpdate { config, instances }
 }
 
-/// Tells the decisions what a peer has sent.
-pub fn tell_news(app: &App, source: &str, news: News) {
-    if let Some(instances) = news.instances {
+/// Passes an update from a peer to the control thread.
+pub fn apply_peer_update(app: &App, source: &str, update: PeerUpdate) {
+    if let Some(instances) = update.instances {
         app.control.tell(Event::InstanceListOffered {
             version: instances.version,
             entries: instances.entries,
         });
     }
-    if let Some(config) = news.config {
+    if let Some(config) = update.config {
         app.control.tell(offered(config, source));
     }
 }
@@ -107,8 +107,8 @@
     Some(InstancesReply { version, entries })
 }
 
-/// Tells the decisions what a peer has.
-pub fn tell_versions(app: &App, instance: InstanceId, versions: &PeerVersions) {
+/// Passes the versions and suspects of a peer to the control thread.
+pub fn apply_peer_versions(app: &App, instance: InstanceId, versions: &PeerVersions) {
     app.control.tell(Event::PeerMessageReceived {
         instance,
         incarnation: versions.incarnation.clone(),
@@ -128,7 +128,7 @@
     }
 }
 
-/// What a process has, as its peers are told.
+/// Returns the versions of this process in the form sent to peers.
 pub fn versions_of(identity: &Identity, versions: &Versions) -> PeerVersions {
     PeerVersions {
         incarnation: identity.incarnation.clone(),
--- a/crates/daemon/src/peers/peer_exchanger.rs
+++ b/crates/daemon/src/peers/peer_exchanger.rs
@@ -1,4 +1,4 @@
-//! Carries out the exchanges that the decisions ask for.
+//! Carries out the version exchanges that the control thread requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,30 +10,31 @@
 use crate::completion::control_message::ControlMessage;
 use crate::completion::control_message::Versions;
 use crate::completion::control_thread::ExchangeTarget;
-use crate::peers::peer_answers::news_for;
-use crate::peers::peer_answers::tell_news;
-use crate::peers::peer_answers::tell_versions;
+use crate::peers::peer_answers::apply_peer_update;
+use crate::peers::peer_answers::apply_peer_versions;
+use crate::peers::peer_answers::update_for;
 use crate::peers::peer_answers::versions_of;
-use crate::peers::peer_message::News;
 use crate::peers::peer_message::PeerReply;
 use crate::peers::peer_message::PeerRequest;
+use crate::peers::peer_message::PeerUpdate;
 
-/// Longest wait for a peer's versions.
+/// Timeout of an exchange or an offer.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Exchanges under way at once; more wait for these.
-const MAX_UNDER_WAY: usize = 16;
+/// Limit of concurrent exchanges; further ones wait.
+const MAX_CONCURRENT_EXCHANGES: usize = 16;
 
-/// Time between two rounds of asking the seed peers.
-const SEED_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two rounds of exchanges with the seed peers.
+const SEED_EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Asks the peers of the settings until a configuration and a list are there.
+/// Exchanges versions with the seed peers of the settings until this instance has a configuration
+/// and an instance list.
 pub async fn run_seeds(app: Arc<App>) {
     loop {
         for seed in &app.settings.seed_peers {
             exchange(&app, (seed.instance.clone(), seed.address)).await;
         }
-        tokio::time::sleep(SEED_INTERVAL).await;
+        tokio::time::sleep(SEED_EXCHANGE_INTERVAL).await;
         let ask = |reply| ControlMessage::Versions { reply };
         let versions = app.control.ask(ask).await;
         let is_complete = |own: &Versions| own.config_version > 0 && own.roster_version > 0;
@@ -43,9 +44,9 @@
     }
 }
 
-/// Runs for the life of the process.
+/// Carries out exchanges with the peers from `targets` until the process ends.
 pub async fn run_exchanges(app: Arc<App>, mut targets: mpsc::UnboundedReceiver<ExchangeTarget>) {
-    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_UNDER_WAY));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONCURRENT_EXCHANGES));
     while let Some(target) = targets.recv().await {
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
@@ -58,8 +59,8 @@
     }
 }
 
-/// Compares versions with a peer; whoever is behind gets what is newer. The
-/// asker brings what the peer lacks: the peer may not know where to ask.
+/// Compares versions with a peer; the side with the older version gets the newer one. This side
+/// sends what the peer lacks, because the peer may not know an address to request it from.
 async fn exchange(app: &App, (instance, address): ExchangeTarget) {
     let ask = |reply| ControlMessage::Versions { reply };
     let Some(own) = app.control.ask(ask).await else {
@@ -69,22 +70,24 @@
     let answer = app.peers.ask(instance.clone(), address, request, TIMEOUT);
     match answer.await {
         Ok(PeerReply::Exchange { versions, news }) => {
-            tell_news(app, &instance, news);
-            let lacking = news_for(app, &own, &versions).await;
+            apply_peer_update(app, &instance, news);
+            let lacking = update_for(app, &own, &versions).await;
             debug!(app.log, "exchanged"; "peer" => &instance, "own" => own.config_version,
                 "theirs" => versions.config_version, "offers" => !lacking.is_empty());
-            tell_versions(app, instance.clone(), &versions);
+            apply_peer_versions(app, instance.clone(), &versions);
             if !lacking.is_empty() {
                 offer(app, (instance, address), lacking).await;
             }
         }
-        Ok(_) => debug!(app.log, "a peer answered something else"; "peer" => &instance),
+        Ok(_) => {
+            debug!(app.log, "peer answered an exchange with another reply"; "peer" => &instance)
+        }
         Err(error) => debug!(app.log, "exchange failed"; "error" => %error),
     }
 }
 
-async fn offer(app: &App, (instance, address): ExchangeTarget, news: News) {
-    let request = PeerRequest::Offer(news);
+async fn offer(app: &App, (instance, address): ExchangeTarget, update: PeerUpdate) {
+    let request = PeerRequest::Offer(update);
     let answer = app.peers.ask(instance, address, request, TIMEOUT);
     if let Err(error) = answer.await {
         debug!(app.log, "offer failed"; "error" => %error);
